--- a/Source/Process/FleetScheduler.cxx
+++ b/Source/Process/FleetScheduler.cxx
@@ -7,11 +7,13 @@
 
 namespace {
 
-/** Run numbers that one leader may give to one task; see NextRun(). */
+/** Number of runs that one leader can give to one task; see NextRun(). */
 constexpr std::uint32_t kRunsPerEpoch = 100000;
 
-/** Two different jobs in a row that fail on a worker set it aside: single tasks
- * fail by themselves now and then. */
+/**
+ * Cordons a worker after failures of two different jobs in a row, because
+ * single tasks also fail on healthy workers.
+ */
 WorkerHealth::Rules
 HealthRules()
 {
@@ -20,13 +22,18 @@
   return rules;
 }
 
-/** A row of a side that is out of reach is removed after this; by then no
- * leader has to wait for it. */
+/**
+ * Delay before the row of an unreachable side is removed; no leader has to wait
+ * for the side by then.
+ */
 constexpr Millis kForgetSide{ 20000 };
-/** Sides that are in reach have all reported to a new leader by then; one that
- * was started anew first waits for stops of its former life, a second or so. */
+/**
+ * Time within which all reachable sides have reported to a new leader. A
+ * restarted side first waits about a second for the stops of its previous
+ * incarnation.
+ */
 constexpr Millis kUsualHold{ 2000 };
-/** Names of such sides in one line of the log. */
+/** Maximum number of names of such sides in one log event. */
 constexpr std::size_t kMostNames = 8;
 constexpr Millis kForgetLeft{ 1000 };
 
@@ -267,8 +274,10 @@
   });
 }
 
-/** Whether work from before this leader still waits for sides; says so in the
- * log, with their names, if it takes longer than sides that are there need. */
+/**
+ * Whether work from before this leader still waits for sides. Logs the names of
+ * the sides if the wait takes longer than reachable sides need.
+ */
 bool
 FleetScheduler::HoldsOldWork(Instant aNow)
 {
@@ -285,12 +294,14 @@
     if (count > kMostNames) {
       names += " and " + std::to_string(count - kMostNames) + " more";
     }
-    Note("old-work-waits", {}, {}, "not heard of yet: " + names);
+    Note("old-work-waits", {}, {}, "no report yet from: " + names);
   } else if (!holds && holdNoted_) {
     holdNoted_ = false;
     const auto waited = std::chrono::duration_cast<Millis>(aNow - loadedAt_);
-    Note(
-      "old-work-goes-on", {}, {}, std::to_string(waited.count()) + " ms later");
+    Note("old-work-goes-on",
+         {},
+         {},
+         std::to_string(waited.count()) + " ms after loading");
   }
   return holds;
 }
@@ -329,8 +340,8 @@
 {
   std::vector<std::string> nodes;
   for (const auto& [node, worker] : workers_) {
-    // One that reported that its worker has left comes back, if at all, with a
-    // row of its own.
+    // If a worker that reported its departure returns, its side writes a new
+    // row.
     const Millis after = worker.left_ ? kForgetLeft : kForgetSide;
     if (worker.registered_ && !worker.linked_ && !worker.suspect_ &&
         worker.held_.empty() && aNow - worker.lostAt_ > after) {
@@ -351,9 +362,9 @@
     if (!over || (!worker.suspect_ && worker.held_.empty())) {
       continue;
     }
-    Note("worker-given-up", {}, node, "its side is out of reach");
+    Note("worker-given-up", {}, node, "its side is unreachable");
     worker.suspect_ = false;
-    DropAllRuns(worker, "its side is out of reach", aNow);
+    DropAllRuns(worker, "its side is unreachable", aNow);
   }
 }
 
@@ -405,7 +416,7 @@
   }
 }
 
-// Questions.
+// Queries.
 
 std::optional<JobState>
 FleetScheduler::StateOf(std::string_view aJob) const
@@ -418,7 +429,7 @@
   if (IsFinal(entry.storedState_)) {
     return entry.storedState_;
   }
-  // A cancellation is stored before this module hears of it.
+  // A cancellation is stored before the scheduler receives it.
   if (entry.job_->State() == JobState::Cancelled) {
     return JobState::Cancelled;
   }
--- a/Source/Process/FleetScheduler.h
+++ b/Source/Process/FleetScheduler.h
@@ -28,19 +28,24 @@
 
 namespace cactusrail {
 
-/** Figures of the deployment that scheduling rests on. */
+/** Scheduling parameters of the deployment. */
 struct FleetBounds
 {
-  /** Finished jobs are known for so long. */
+  /** Retention time of finished jobs. */
   Millis keepFinished_{ 120000 };
-  /** How much longer a task takes away from its data. */
+  /** Factor by which a task takes longer away from its data. */
   double farFactor_ = 1.5;
-  /** No task starts later than this after its job's cancellation was
-   * acknowledged. */
+  /**
+   * Longest delay between the acknowledgement of a job's cancellation and the
+   * last start of one of its tasks.
+   */
   Millis cancelBound_{ 3000 };
 };
 
-/** Job records to store as one; an end is acknowledged once its batch is. */
+/**
+ * Job records to store in one transaction. The ends of runs that caused them
+ * are acknowledged once the batch is stored.
+ */
 struct ProgressBatch
 {
   std::uint64_t number_ = 0;
@@ -54,7 +59,7 @@
   FleetOrders orders_;
 };
 
-/** Something that a decision changed, for the log: an event and its inputs. */
+/** Log event of a scheduling decision, with the inputs of the decision. */
 struct FleetEvent
 {
   std::string_view event_;
@@ -64,84 +69,102 @@
 };
 
 /**
- * Decides which task runs where, for the entry that leads. Facts and times in,
- * orders and records to store out; no I/O.
+ * Decides on which worker each task runs; used by the entry that is the leader.
+ * Input is facts with their times; output is orders and records to store.
+ * Performs no I/O.
  *
- * What holds at all times, and why:
- * - A task has one run at a time. Its worker is asked, not the table: a run is
- *   given up only when its worker lists its end, says that it is not there, is
- *   in a new life, or when kAuthority is over since the last orders that its
- *   side can have had, after which the side holds nothing.
- * - A new leader starts nothing that might run already: jobs older than itself
- *   wait until each known side has reported or kAuthority is over.
- * - An end is acknowledged to the worker, which then forgets it, only after
- *   what it changed is stored; a leader that dies before that is told again.
- * - Room is taken from the order of a start until its end is known, so late
- *   starts and slow stops never add up beyond a worker's capacity.
- * - A start rests on the cancellations that were known when it was decided. Its
- *   order is void FleetBounds::cancelBound_ after the time up to which all of
- *   them were known, whatever delays it: a leader that is behind, the way, or a
- *   worker that does not answer its side.
+ * Invariants and their reasons:
+ * - A task has one run at a time. The worker decides whether a run exists, not
+ *   the table: a run is abandoned only when its worker reports its end, reports
+ *   that the run does not exist, or has a new incarnation, or when kAuthority
+ *   has passed since the last orders that its side can have received, after
+ *   which the side keeps no runs.
+ * - A new leader starts no task that might be running: jobs stored before its
+ *   leadership wait until each known side has reported or kAuthority has
+ *   passed.
+ * - The end of a run is acknowledged to the worker, which then discards it,
+ *   only after the resulting changes are stored. If the leader dies earlier,
+ *   the worker reports the end to the next leader.
+ * - The resources of a run are allocated from the order of its start until its
+ *   end is known, so late starts and slow stops never exceed the capacity of a
+ *   worker.
+ * - A start is based on the cancellations that were known when it was decided.
+ *   Its order expires FleetBounds::cancelBound_ after the time up to which all
+ *   cancellations were known, whatever delays the order: a leader that lags
+ *   behind, the network, or a worker that does not answer its side.
  */
 class FleetScheduler
 {
 public:
-  /** aWallMs: the wall clock in ms since 1970, for the ends of jobs. */
+  /** aWallMs: wall-clock time in ms since 1970, for the end times of jobs. */
   FleetScheduler(std::uint64_t aEpoch,
                  const FleetBounds& aBounds,
                  std::int64_t aWallMs);
 
   // Facts.
-  /** A job is in the table. Repeats change nothing. */
+  /** Adds a job from the table. Repeated calls have no effect. */
   void OnJobStored(const JobDescription& aSpec, Instant aNow);
-  /** A cancellation is in the table; it may come before its job. */
+  /** Applies a cancellation from the table; it may precede its job. */
   void OnCancelStored(const std::string& aJob, Instant aNow);
-  /** All jobs and cancellations stored before then are known here. */
+  /** All jobs and cancellations stored before aAsOf are known here. */
   void OnTableCurrent(Instant aAsOf) { tableAsOf_ = aAsOf; }
-  /** What the last leader stored of a job; while loading. */
+  /**
+   * Restores the progress of a job that the previous leader stored; called
+   * while loading.
+   */
   void OnProgressLoaded(const std::string& aJob,
                         const JobProgress& aProgress,
                         Instant aNow);
-  /** The side's row is in the table; true if it was not known before. */
+  /**
+   * Adds the side whose row is in the table; returns true if it was not known
+   * before.
+   */
   bool OnSideRegistered(const std::string& aNode, Instant aNow);
-  /** The row was removed, by its side or by Removable(). */
+  /** The row was removed by its side or because of Removable(). */
   void OnSideRemoved(const std::string& aNode);
-  /** Everything in the table has been read. */
+  /** The whole table has been read. */
   void OnLoaded(Instant aNow, std::int64_t aWallMs);
   void OnLinkUp(const std::string& aNode, Instant aNow);
   void OnLinkLost(const std::string& aNode, Instant aNow);
   void OnReport(const std::string& aNode,
                 const FleetReport& aReport,
                 Instant aNow);
-  /** All batches up to this one are in the table. */
+  /** All batches up to aBatch are stored in the table. */
   void OnBatchStored(std::uint64_t aBatch, Instant aNow);
 
   // Decisions.
-  /** Orders that are due; to be sent at once. */
+  /** Returns the orders that are due, to be sent at once. */
   std::vector<SideOrders> TakeOrders(Instant aNow, std::int64_t aWallMs);
-  /** Changes that must be stored; none if there are none. */
+  /** Returns the changes that must be stored, or none. */
   std::optional<ProgressBatch> TakeBatch();
-  /** What has been decided since the last call, for the log. */
+  /** Returns the log events of decisions since the last call. */
   std::vector<FleetEvent> TakeEvents();
-  /** Jobs that ended so long ago that nobody may ask for them. */
+  /** Returns the jobs whose retention time is over. */
   std::vector<std::string> Expired(std::int64_t aWallMs) const;
   void Forget(const std::string& aJob);
-  /** Sides that have been out of reach so long that nothing can run there. */
+  /**
+   * Returns the sides that have been unreachable for so long that nothing can
+   * run on their workers.
+   */
   std::vector<std::string> Removable(Instant aNow) const;
 
-  /** What has been learned of backfill beside serving tasks; it outlives a
-   * leader in the table, as learning it anew disturbs users. */
+  /**
+   * Learned cost of backfill beside serving tasks. The table keeps it across
+   * leaders, because relearning it disturbs users.
+   */
   BackfillInterference& Interference() { return interference_; }
 
-  // Questions.
-  /** None if the job is not known here. A final state only once stored. */
+  // Queries.
+  /**
+   * Returns none if the job is unknown here, and a final state only once that
+   * state is stored.
+   */
   std::optional<JobState> StateOf(std::string_view aJob) const;
   std::uint64_t Waiting(std::string_view aQueue) const;
   bool Loaded() const { return loaded_; }
   std::size_t JobCount() const { return jobs_.size(); }
   std::size_t ReadyCount() const;
-  /** How often all workers were looked at for a step, since this leader began.
-   */
+  /** Number of scans of all workers for a step under this leader. */
   std::uint64_t FleetLooks() const { return fleetLooks_; }
   const std::map<std::string, FleetWorker>& Workers() const { return workers_; }
 
@@ -149,21 +172,24 @@
   struct JobEntry
   {
     std::unique_ptr<FleetJob> job_;
-    /** Stored before this leader; waits until no side is suspect. */
+    /** Stored before this leader took over; waits until no side is suspect. */
     bool old_ = false;
-    /** The state that the table holds. */
+    /** State that is stored in the table. */
     JobState storedState_ = JobState::Pending;
-    /** The state in the batch that is being stored. */
+    /** State in the batch that is being stored. */
     JobState batchState_ = JobState::Pending;
-    /** Since when it has had nothing running although a task could. */
+    /** Time since which no task has run although one was ready. */
     std::optional<Instant> idleSince_;
-    /** It has waited for a good place in vain once, and waits no more. */
+    /**
+     * The job has waited for a better worker once in vain, and does not wait
+     * again.
+     */
     bool starving_ = false;
-    /** The log says that it is held back; see IsHeldBack(). */
+    /** The log reports the job as deferred; see IsHeldBack(). */
     bool heldBack_ = false;
   };
 
-  /** Ready work in the order in which it is placed. */
+  /** Sort key of a ready step. */
   struct ReadyKey
   {
     std::int64_t priority_ = 0;
@@ -246,18 +272,23 @@
   bool HoldsOldWork(Instant aNow);
 
   // Placement.
-  /** Starts that rest on what is known now are void from then on. */
+  /**
+   * Time at which starts that are decided on the current view of the table
+   * expire.
+   */
   Instant StartsUntil() const;
   bool MayStart(Instant aNow);
   void PlaceReady(Instant aNow);
-  /** Ready steps in the order in which they are placed now. */
+  /** Returns the ready steps in their current placement order. */
   std::vector<ReadyKey> PlacementOrder();
   JobRank RankNow(const FleetJob& aJob, const FleetStep& aStep) const;
   bool PlaceStep(const ReadyKey& aKey, Instant aNow);
-  /** A task of the step found no worker. */
+  /** Records that a task of the step found no worker. */
   void NoteMiss(const FleetJob& aJob, const FleetStep& aStep, Instant aNow);
   bool MissesAgain(JobEntry& aEntry, const FleetStep& aStep, Instant aNow);
-  /** Places a task or, if it finds no worker, says so to what depends on it.
+  /**
+   * Places a task. If it fits on no worker, records and logs the miss, and
+   * preempts runs or reserves a worker for it where the rules allow this.
    */
   bool PlaceOrMiss(JobEntry& aEntry,
                    FleetStep& aStep,
@@ -281,19 +312,22 @@
                      std::uint32_t aIndex,
                      Instant aNow);
   bool PlaceGang(JobEntry& aEntry, FleetStep& aStep, Instant aNow);
-  /** Collects the workers for the tasks of one step, into options_. */
+  /** Collects the workers for the tasks of one step in options_. */
   void FillOptions(const FleetJob& aJob, const FleetStep& aStep, Instant aNow);
-  /** A task of the step was placed on that option. */
+  /** Updates the option on which a task of the step was placed. */
   void NotePlaced(std::size_t aOption,
                   const FleetJob& aJob,
                   const FleetStep& aStep);
-  /** The best of options_ for a task; none if it should rather wait. */
+  /** Returns the best of options_ for a task, or none if waiting is better. */
   std::optional<std::size_t> ChooseAmongOptions(const FleetJob& aJob,
                                                 const FleetStep& aStep,
                                                 const FleetTask& aTask,
                                                 Instant aNow,
                                                 bool aStarving = false) const;
-  /** How a backfill task would do there beside those that serve. */
+  /**
+   * Returns how well a backfill task fits beside the serving tasks of the
+   * worker.
+   */
   BackfillFit FitOn(FleetWorker& aWorker,
                     const FleetJob& aJob,
                     const StepSpec& aStep);
@@ -306,63 +340,70 @@
                 Instant aNow);
 
   // Preemption.
-  /** A run of a lower priority, with its task's name. */
+  /** Run of a lower priority, with the name of its task. */
   struct PreemptibleRun
   {
     std::string task_;
     TaskRun* run_ = nullptr;
   };
-  /** How room for a task could be made on one worker. */
+  /** Runs to stop on one worker so that a task fits there. */
   struct RoomPlan
   {
-    /** What stops there already gives room enough. */
+    /** Runs that are already being stopped free enough resources. */
     bool underWay_ = false;
-    /** Room enough once stops_ have ended. */
+    /** Enough resources are free once stops_ have ended. */
     bool enough_ = false;
     std::vector<PreemptibleRun> stops_;
   };
-  /** Stops runs of lower priorities on the worker where the fewest must go. */
+  /**
+   * Preempts runs of lower priorities on the worker where the fewest have to
+   * stop.
+   */
   void MakeRoom(const FleetJob& aJob, const FleetStep& aStep, Instant aNow);
   RoomPlan PlanRoom(FleetWorker& aWorker,
                     const FleetRoom& aWanted,
                     std::int64_t aPriority);
-  /** Those that would lose the least work first. */
+  /** Returns the preemptible runs, those that lose the least work first. */
   std::vector<PreemptibleRun> Preemptible(FleetWorker& aWorker,
                                           std::int64_t aPriority);
 
-  // Tasks that last.
-  /** Callers have asked for an occurrence of the job. */
+  // Long-running tasks.
+  /** Records the demand of one more occurrence of the job. */
   void NoteAsked(const FleetJob& aJob, Instant aNow);
-  /** Whether a new job that lasts must leave the room to short work. */
+  /** Whether a new long-running job is deferred in favor of short work. */
   bool IsHeldBack(JobEntry& aEntry, const FleetStep& aStep, Instant aNow);
-  /** Thousandths of processors that started jobs which last hold, or wait for,
-   * of those that the service's workers have. */
+  /**
+   * CPU that started long-running jobs hold, or wait for, on the workers of the
+   * service, in thousandths of a processor.
+   */
   std::int64_t StandingCpuMilli(std::string_view aService) const;
-  /** The room of a service's workers, and how much of it is taken. */
+  /** Total and used CPU of a service's workers. */
   struct ServiceRoom
   {
     std::int64_t cpuMilli_ = 0;
     std::int64_t usedCpuMilli_ = 0;
   };
   ServiceRoom RoomOfService(std::string_view aService) const;
-  /** Since when it has had no run; none if it never had one. */
+  /** Start of the downtime of the task; none if it never ran. */
   std::optional<Instant> AwaySince(const JobEntry& aEntry,
                                    const FleetTask& aTask) const;
-  /** Some task of the step waits that ran before. */
+  /** Whether a task of the step that ran before waits for its restart. */
   bool HasReturning(const JobEntry& aEntry, const FleetStep& aStep) const;
-  /** Keeps the room of a run that failed until its task starts again. */
+  /** Reserves the resources of a failed run until its task restarts. */
   void KeepRoomOfFailed(FleetWorker& aWorker,
                         const TaskKey& aName,
                         Place& aPlace,
                         Instant aNow);
   void DropKeptRoom(const TaskKey& aName, FleetTask& aTask);
-  /** Whether the log has room for a line on the task's wait now. */
+  /**
+   * Whether the rate limits of the log permit an event on the task's wait now.
+   */
   bool MayNoteWait(FleetTask& aTask, Instant aNow);
-  /** What a task of the step finds on the workers; of options_. */
+  /** Describes the capacity that a task of the step finds in options_. */
   std::string DescribeWait(const JobEntry& aEntry,
                            const FleetStep& aStep,
                            Instant aNow) const;
-  /** Says in the log what a task that lasts and ran before waits for. */
+  /** Logs why a long-running task that ran before still waits. */
   void NoteLastingWaits(const JobEntry& aEntry,
                         FleetStep& aStep,
                         std::uint32_t aIndex,
@@ -372,7 +413,7 @@
                    const FleetTask& aTask,
                    Instant aNow);
 
-  // Care for what runs.
+  // Maintenance of runs.
   void OrderStop(const std::string& aNode,
                  const std::string& aTask,
                  TaskRun& aRun,
@@ -410,8 +451,10 @@
                    std::uint32_t aIndex,
                    double aSpeed);
   void MoveIfSlow(FleetWorker& aWorker, const SharingRun& aRun, Instant aNow);
-  /** What a task of the step takes: as long as those of it that have ended
-   * well, or what its queue's tasks take by such an estimate. */
+  /**
+   * Expected duration of a task of the step: the average of its tasks that have
+   * completed, or the duration of tasks of its queue with the same estimate.
+   */
   double ExpectedMillis(const FleetJob& aJob, const FleetStep& aStep) const;
   void LearnDuration(FleetWorker& aWorker,
                      const FleetJob& aJob,
@@ -429,10 +472,10 @@
   std::uint32_t firstRun_;
   FleetBounds bounds_;
   std::unordered_map<std::string, JobEntry> jobs_;
-  /** Cancellations whose job has not been seen yet. */
+  /** Cancellations whose job is not known yet. */
   std::set<std::string> earlyCancels_;
   std::set<ReadyKey> ready_;
-  /** When a timed job's next occurrence is due, in ms since 1970. */
+  /** Due times of the next occurrences of timed jobs, in ms since 1970. */
   std::set<std::pair<std::int64_t, std::string>> due_;
   std::map<std::string, FleetWorker> workers_;
   std::map<std::string, FleetOrders> orders_;
@@ -442,11 +485,11 @@
   std::vector<std::string> storing_;
   bool loaded_ = false;
   Instant loadedAt_;
-  /** Everything stored before then is known. */
+  /** All changes stored before this time are known. */
   Instant tableAsOf_;
-  /** Nothing starts, as what is known is too old. */
+  /** Starts are withheld because the view of the table is too old. */
   bool withheld_ = false;
-  /** The log says that old work waits for sides. */
+  /** The log reports that old work waits for sides. */
   bool holdNoted_ = false;
   std::int64_t wallMs_ = 0;
   WorkerHealth health_;
@@ -456,11 +499,14 @@
   StandingRoom standing_;
   PlacementMisses misses_;
   std::vector<FleetEvent> events_;
-  /** Lines of NoteLastingWaits() since a second began, and when it is over. */
+  /**
+   * Number of events of NoteLastingWaits() in the current period, and the end
+   * of that period.
+   */
   std::size_t waitNotes_ = 0;
   Instant waitNotesUntil_;
   std::uint64_t fleetLooks_ = 0;
-  /** Scratch of a choice; kept to spare allocations. */
+  /** Scratch buffer of a placement; kept to avoid allocations. */
   std::vector<WorkerOption> options_;
 };
 
--- a/Source/Process/FleetSchedulerCare.cxx
+++ b/Source/Process/FleetSchedulerCare.cxx
@@ -1,4 +1,4 @@
-// FleetScheduler: care for what runs: stalls, slow and leaving workers.
+// FleetScheduler: maintenance of runs: stalled runs, slow and draining workers.
 
 #include "Process/FleetScheduler.h"
 
@@ -9,30 +9,40 @@
 
 namespace {
 
-/** Work that reports no progress for so long stands still: sides report each
- * half second, and a percent of the longest tasks takes less than that. */
+/**
+ * Time without progress after which a run counts as stalled. Sides report every
+ * half second, and one percent of the longest task takes less than that.
+ */
 constexpr Millis kStall{ 1600 };
 
-/** A start that its side could not get answered for so long is taken back. */
+/** Time without an answer of the worker after which a start is withdrawn. */
 constexpr Millis kStartTimeout{ 3000 };
 
-/** A worker where work stood still gets nothing new for so long. */
+/**
+ * Time for which a worker with a stalled run or an unanswered start gets no new
+ * tasks.
+ */
 constexpr Millis kStallPause{ 5000 };
 
-/** A run is judged by its pace after this. */
+/** Time after which the speed of a run is evaluated. */
 constexpr Millis kJudge{ 700 };
 
-/** A run that would go on so many times longer here than elsewhere moves. */
+/**
+ * Ratio of the remaining time here to the expected time elsewhere above which a
+ * run moves.
+ */
 constexpr double kMoveFactor = 2;
-/** ...and by at least this: a move throws work away. */
+/** Minimum gain of a move, because a move discards work. */
 constexpr double kMoveGainMicros = 1.0e6;
-/** Moves of one task; a task that is slow everywhere is not a worker's fault.
+/**
+ * Maximum number of moves of one task; a worker is not at fault for a task that
+ * is slow everywhere.
  */
 constexpr std::uint32_t kMaxMoves = 2;
 
-/** Weight of the newest sample in what is learned of a worker. */
+/** Weight of the newest sample in the slowness of a worker. */
 constexpr double kLearnSlowness = 0.25;
-/** What was learned of a worker's slowness fades by this part a report. */
+/** Fraction by which the slowness of a worker decays with each report. */
 constexpr double kForgetSlowness = 0.05;
 
 }
@@ -114,7 +124,7 @@
           aNow - run.startedAt_ > kStartTimeout) {
         aWorker.avoidUntil_ = aNow + kStallPause;
         place->task_->avoid_.push_back(aWorker.node_);
-        OrderStop(aWorker.node_, task, run, "its start has no answer");
+        OrderStop(aWorker.node_, task, run, "its start got no answer");
       } else if (run.phase_ == RunPhase::Running) {
         CareForRun(aWorker, *name, *place, run, aNow);
       }
@@ -144,7 +154,7 @@
     aWorker.avoidUntil_ = aNow + kStallPause;
     ++task.moves_;
     task.avoid_.push_back(aWorker.node_);
-    OrderStop(aWorker.node_, aName.Text(), aRun, "it stands still");
+    OrderStop(aWorker.node_, aName.Text(), aRun, "it makes no progress");
     return;
   }
   const double elapsed =
@@ -164,8 +174,10 @@
     ++task.moves_;
     task.avoid_.push_back(aWorker.node_);
     aWorker.slowness_ += kLearnSlowness * (here / whole - aWorker.slowness_);
-    OrderStop(
-      aWorker.node_, aName.Text(), aRun, "it is far slower than elsewhere");
+    OrderStop(aWorker.node_,
+              aName.Text(),
+              aRun,
+              "it is much slower than on other workers");
   }
 }
 
@@ -181,7 +193,7 @@
     return;
   }
   if (spec.longRunning_) {
-    OrderStop(aWorker.node_, aName.Text(), aRun, "its worker is leaving");
+    OrderStop(aWorker.node_, aName.Text(), aRun, "its worker is draining");
     return;
   }
   const double gained = static_cast<double>(aRun.percent_) -
--- a/Source/Process/FleetSchedulerLasting.cxx
+++ b/Source/Process/FleetSchedulerLasting.cxx
@@ -1,5 +1,4 @@
-// FleetScheduler: which jobs that last may start, and how their tasks come back
-// after a run of theirs has ended.
+// FleetScheduler: admission of long-running jobs, and restarts of their tasks.
 
 #include "Process/FleetScheduler.h"
 
@@ -11,28 +10,43 @@
 
 namespace {
 
-/** A task that lasts waits so long for a gap before a worker is kept for it.
- * Short work ends there within two seconds or so; users allow six in all. */
+/**
+ * Time that a long-running task waits for free capacity before a worker is
+ * reserved for it. Short work ends on that worker within about two seconds;
+ * users accept a downtime of six seconds.
+ */
 constexpr Millis kPatience{ 2000 };
 
-/** Room of a failed run is kept so long at most; its task's pause is shorter.
- * Later a worker is kept for it. */
+/**
+ * Validity of the reservation for a failed run; the restart backoff of its task
+ * is shorter. Later a worker is reserved for the task.
+ */
 constexpr Millis kKeepsRoom = kPatience;
 
-/** What a task waits for is said so often, for so many tasks at most. */
+/**
+ * Interval between log events on the wait of one task, and the maximum number
+ * of such events per interval.
+ */
 constexpr Millis kWaitNotePeriod{ 1000 };
 constexpr std::size_t kMostWaitNotes = 8;
 
-/** One in so many workers at most is kept at a time: short work goes on
- * elsewhere. */
+/**
+ * At most one of this many workers is reserved at a time, so that short work
+ * continues elsewhere.
+ */
 constexpr std::size_t kWorkersPerReservation = 16;
 
-/** A worker is kept for a task only if its long-running tasks leave so many
- * times the room that it takes, so short work never has less there. */
+/**
+ * A worker is reserved for a task only if its long-running tasks leave at least
+ * this multiple of the resources of the task, so that short work keeps at least
+ * as much there.
+ */
 constexpr std::int64_t kTimesItsRoom = 2;
 
-/** A run holds its room so long beyond its work: its order, its start, and the
- * news of its end. */
+/**
+ * Time that a run occupies its resources in addition to its work: for its
+ * order, its start and the report of its end.
+ */
 constexpr Millis kRunOverhead{ 150 };
 
 bool
@@ -129,7 +143,7 @@
   const ServiceRoom room = RoomOfService(spec.service_);
   const double most =
     standing_.MostCpuMilli(spec.service_, spec.priority_, room.cpuMilli_, aNow);
-  // Users count a job as lost that waits while half of the room is free.
+  // Users count a job as lost if it waits while half of the capacity is free.
   const bool idle = room.usedCpuMilli_ < room.cpuMilli_ / 2;
   const bool holds = !idle && static_cast<double>(held + wanted) > most;
   if (holds != aEntry.heldBack_) {
@@ -137,10 +151,10 @@
     Note(holds ? "standing-held-back" : "standing-admitted",
          spec.id_,
          {},
-         "it asks for " + std::to_string(wanted) + ", others hold " +
-           std::to_string(held) + " of " +
+         "it requests " + std::to_string(wanted) +
+           ", other long-running jobs hold " + std::to_string(held) + " of " +
            std::to_string(static_cast<std::int64_t>(most)) +
-           " thousandths of a processor");
+           " permitted thousandths of a processor");
   }
   return holds;
 }
@@ -151,7 +165,7 @@
   if (aTask.endedAt_.has_value()) {
     return aTask.endedAt_;
   }
-  // What ran under a leader before this one is not known; most of it did.
+  // Runs under a previous leader are not recorded; most of these tasks ran.
   return aEntry.old_ ? std::optional(loadedAt_) : std::nullopt;
 }
 
@@ -169,10 +183,10 @@
 }
 
 /**
- * Keeps the room of a run that failed for its task's next run.
+ * Reserves the resources of a failed run for the next run of its task.
  *
- * Such a task pauses before it starts again. In a full fleet its room would be
- * gone by then: to short work, or to a task of the same job that never ran.
+ * The task restarts after a backoff. In a full fleet, short work or a task of
+ * the same job that never ran would take the resources in the meantime.
  */
 void
 FleetScheduler::KeepRoomOfFailed(FleetWorker& aWorker,
@@ -242,12 +256,13 @@
   }
   const ServiceRoom room = RoomOfService(facts.service_);
   std::ostringstream text;
-  text << "it needs " << wanted.cpuMilli_ << "; of " << options_.size()
-       << " workers " << eligible << " may run it, " << setAside
-       << " of them set aside, " << spares << " can be kept for it; at most "
-       << mostFree << " free on one with the memory for it, "
+  text << "it needs " << wanted.cpuMilli_ << " thousandths of a processor; of "
+       << options_.size() << " workers " << eligible << " may run it, "
+       << setAside << " of them cordoned, " << spares
+       << " can be reserved for it; at most " << mostFree
+       << " are free on a worker with enough memory, "
        << room.cpuMilli_ - room.usedCpuMilli_
-       << " on all, tasks that last hold or want "
+       << " in total; long-running tasks hold or request "
        << StandingCpuMilli(facts.service_) << " of " << room.cpuMilli_;
   return text.str();
 }
@@ -275,13 +290,14 @@
 }
 
 /**
- * Keeps a worker's room for a task that lasts and has been away for a while.
+ * Reserves a worker for a long-running task after a long downtime.
  *
- * In a full fleet short urgent work takes each gap the moment it opens, and
- * none grows to the size of a task that lasts. On a worker that takes no more
- * short work room enough is free within seconds. Where long-running tasks hold
- * nearly all of every worker nothing is kept, or after the loss of a host its
- * tasks would take what is left to urgent work.
+ * In a full fleet, short urgent work takes all capacity as soon as it becomes
+ * free, and no gap grows to the size of a long-running task. A worker that gets
+ * no more short work has enough free capacity within seconds. No worker is
+ * reserved where long-running tasks hold nearly all of every worker: after the
+ * loss of a host its tasks would otherwise take the capacity that is left for
+ * urgent work.
  */
 void
 FleetScheduler::KeepRoomFor(const JobEntry& aEntry,
--- a/Source/Process/FleetSchedulerPlacement.cxx
+++ b/Source/Process/FleetSchedulerPlacement.cxx
@@ -1,4 +1,4 @@
-// FleetScheduler: which waiting task starts where.
+// FleetScheduler: placement of waiting tasks on workers.
 
 #include "Process/FleetScheduler.h"
 
@@ -9,12 +9,17 @@
 
 namespace {
 
-/** A job of backfill with nothing running takes any worker after this; users
- * count one as lost after three seconds. It waits so once, see PlaceStarving.
+/**
+ * Time after which a backfill job without any run accepts any worker; users
+ * count a job as lost after three seconds. A job waits only once, see
+ * PlaceStarving.
  */
 constexpr Millis kStarved{ 1500 };
-/** Backfill is placed for so long a time ahead at most: its task's duration,
- * but further ahead the load of those that serve can't be told. */
+/**
+ * Longest time ahead for which the load of serving tasks is predicted when
+ * backfill is placed. The time ahead is the duration of the backfill task, but
+ * the load cannot be predicted for longer.
+ */
 constexpr Millis kFarthestAhead{ 300 };
 
 }
@@ -35,8 +40,8 @@
  * Whether an order given now could still be carried out.
  *
  * A leader that is seconds behind the table would start tasks whose
- * cancellation has been acknowledged. The table answers every 0.8 s at least,
- * so a calm fleet never waits for this.
+ * cancellation has been acknowledged. The table answers at least every 0.8 s,
+ * so starts in a healthy fleet are never withheld.
  */
 bool
 FleetScheduler::MayStart(Instant aNow)
@@ -48,8 +53,7 @@
     Note(may ? "starts-go-on" : "starts-withheld",
          {},
          {},
-         "the table was last heard of " + std::to_string(age.count()) +
-           " ms ago");
+         "the view of the table is " + std::to_string(age.count()) + " ms old");
   }
   return may;
 }
@@ -84,8 +88,8 @@
     orders.orders_.sequence_ = ++worker.ordersSent_;
     orders.orders_.echoMicros_ = worker.echoMicros_;
     if (!orders.orders_.starts_.empty()) {
-      // The side's clock read the echo when it reported, which was before the
-      // report was taken in: at worst the starts are void that much sooner.
+      // The side read its clock for the echo before the leader received the
+      // report. The starts expire earlier by this delay at most.
       const Micros left = StartsUntil() - worker.reportedAt_;
       orders.orders_.startsUntilMicros_ =
         worker.echoMicros_ + static_cast<std::uint64_t>(left.count());
@@ -113,7 +117,7 @@
     worker.DropKeptUntil(aNow);
   }
   std::vector<ReadyKey> placed;
-  // Work of a lower priority must not take the room that is being made.
+  // Work of a lower priority must not take capacity that preemption frees.
   std::optional<std::int64_t> blocked;
   for (const ReadyKey& key : PlacementOrder()) {
     const auto found = jobs_.find(key.job_);
@@ -226,8 +230,8 @@
   }
   FillOptions(*entry.job_, step, aNow);
   bool allPlaced = true;
-  // Tasks that never ran would take the room of those that come back, of other
-  // jobs too.
+  // Tasks that never ran would take the capacity of restarting tasks, also of
+  // other jobs.
   const bool returning = HasReturning(entry, step);
   for (std::uint32_t i = 0; i < step.tasks_.size(); ++i) {
     const FleetTask& task = step.tasks_[i];
@@ -276,15 +280,15 @@
   }
 }
 
-/** Whether a step like this one has found no worker in this pass. */
+/** Whether a similar step has found no worker in this pass. */
 bool
 FleetScheduler::MissesAgain(JobEntry& aEntry,
                             const FleetStep& aStep,
                             Instant aNow)
 {
   const JobDescription& spec = aEntry.job_->Spec();
-  // Backfill of which nothing runs has a way of its own, and so has a job for
-  // which room is kept.
+  // Backfill jobs without a run are placed by PlaceStarving, and jobs with a
+  // reservation can use their reserved worker.
   const bool idle = aStep.spec_->backfill_ && aEntry.job_->Idle();
   if (idle || !misses_.Covers(spec, *aStep.spec_) ||
       !reservations_.NodeOf(spec.id_, aNow).empty()) {
@@ -414,7 +418,9 @@
   return true;
 }
 
-/** Places a task for which room is kept, there or elsewhere. */
+/**
+ * Places a task that has a reservation, on the reserved worker or elsewhere.
+ */
 bool
 FleetScheduler::PlaceReturned(JobEntry& aEntry,
                               FleetStep& aStep,
@@ -451,7 +457,7 @@
   StartRun(aEntry, aStep, aIndex, worker, aEntry.job_->NextRun(task), aNow);
   NotePlaced(aOption, *aEntry.job_, aStep);
   if (aStep.spec_->backfill_) {
-    // Others would never be told to go on: PaceBackfill minds backfill only.
+    // Only backfill: PaceBackfill would never raise the pace of other tasks.
     StartAtPace(worker, aEntry, aStep, aIndex, fit.speed_);
   }
   if (!fit.known_) {
@@ -460,12 +466,13 @@
 }
 
 /**
- * Starts one task of a job of backfill that would disturb someone wherever it
- * went: slowly, where it disturbs least, at a pace that keeps it harmless.
+ * Starts one task of a backfill job that would disturb serving tasks on every
+ * worker: on the worker where it disturbs least, at a pace that makes it
+ * harmless.
  *
- * Such a job must still get on. It waits kStarved for a better place, but once,
- * not after each of its tasks. A task that is stopped to move elsewhere and
- * finds the place taken is back at once for the same reason.
+ * Such a job must still make progress. It waits kStarved for a better worker,
+ * but only once and not after each of its tasks. For the same reason a task
+ * that is stopped for a move and finds its new place taken restarts at once.
  */
 bool
 FleetScheduler::PlaceStarving(JobEntry& aEntry,
@@ -495,15 +502,15 @@
   Note("backfill-starving",
        aEntry.job_->Spec().id_,
        task.runs_.back().node_,
-       "nothing of it ran for " + std::to_string(idle.count()) + " ms");
+       "no task of the job ran for " + std::to_string(idle.count()) + " ms");
   return true;
 }
 
 bool
 FleetScheduler::PlaceGang(JobEntry& aEntry, FleetStep& aStep, Instant aNow)
 {
-  // All members start together under one run number, or none does: a part of a
-  // gang would hold its room and do nothing.
+  // All members of a gang start together under one run number, or none does: an
+  // incomplete gang would occupy resources without progress.
   const bool allWait = std::all_of(
     aStep.tasks_.begin(), aStep.tasks_.end(), [aNow](const FleetTask& aTask) {
       return aTask.Waits() && aTask.notBefore_ <= aNow;
@@ -579,7 +586,7 @@
   aWorker.Hold(text, aRun, RoomOf(*aStep.spec_, spec));
   health_.OnStart(aWorker.node_, aNow);
   if (aStep.spec_->longRunning_ && !aEntry.job_->EverStarted()) {
-    // A next leader must not hold it back.
+    // Stored so that the next leader does not defer the job.
     MarkChanged(aEntry);
   }
   aEntry.job_->SetStarted();
@@ -592,13 +599,14 @@
   const std::string detail = "run " + std::to_string(aRun);
   Note("run-ordered", text, aWorker.node_, detail);
   if (aStep.spec_->longRunning_ && task.endedAt_.has_value()) {
-    // A line of its own: of run-ordered so many are written that in a large
-    // fleet a third of them is only counted.
+    // A separate event, because run-ordered is so frequent that in a large
+    // fleet a third of its lines are only counted.
     const auto away = std::chrono::duration_cast<Millis>(aNow - *task.endedAt_);
     Note("lasting-back",
          text,
          aWorker.node_,
-         detail + ", away for " + std::to_string(away.count()) + " ms");
+         detail + ", after a downtime of " + std::to_string(away.count()) +
+           " ms");
   }
 }
 
--- a/Source/Process/FleetSchedulerPreemption.cxx
+++ b/Source/Process/FleetSchedulerPreemption.cxx
@@ -1,5 +1,4 @@
-// FleetScheduler: makes room for work of a higher priority by stopping runs of
-// a lower one.
+// FleetScheduler: preempts runs of a lower priority for work of a higher one.
 
 #include "Process/FleetScheduler.h"
 
@@ -46,7 +45,7 @@
       }
     }
   }
-  // The least work lost first: what has run for the shortest time.
+  // The run with the shortest runtime loses the least work.
   std::sort(
     runs.begin(), runs.end(), [](const auto& aLeft, const auto& aRight) {
       return aLeft.run_->startedAt_ > aRight.run_->startedAt_;
--- a/Source/Process/FleetSchedulerReports.cxx
+++ b/Source/Process/FleetSchedulerReports.cxx
@@ -1,4 +1,4 @@
-// FleetScheduler: what sides report, and what that says of runs.
+// FleetScheduler: processes the reports of sides and applies them to runs.
 
 #include "Process/FleetScheduler.h"
 
@@ -9,32 +9,37 @@
 
 namespace {
 
-/** A worker that said "no room" although we counted some gets nothing new for
- * this long: something is there that we don't know of. */
+/**
+ * Time for which a worker gets no new tasks after it refused a start for lack
+ * of capacity, or for no specific reason, although free capacity was accounted
+ * for it. Such a worker runs something that the scheduler does not know.
+ */
 constexpr Millis kFullPause{ 300 };
 
-/** Pause before a long-running task that failed starts again: so much more
- * after each failure. Users allow six seconds. */
+/**
+ * Restart backoff of a long-running task, which grows by this amount with each
+ * failure. Users accept a downtime of six seconds.
+ */
 constexpr Millis kBackoff{ 100 };
 constexpr Millis kLongestBackoff{ 1000 };
-/** Workers that a long-running task remembers to have failed on. */
+/** Number of workers on which a long-running task failed that it avoids. */
 constexpr std::size_t kMostAvoided = 4;
 
-/** Why a run that was ordered did not start, for the log. */
+/** Returns the reason for the log why an ordered run did not start. */
 std::string_view
 TextOf(StartRefusal aWhy)
 {
   switch (aWhy) {
     case StartRefusal::Old:
-      return "refused: it, or a later run, has ended there";
+      return "refused: this run or a later one has already ended there";
     case StartRefusal::NoRoom:
       return "refused: its worker has no room";
     case StartRefusal::Ticket:
-      return "refused: its ticket is not valid there";
+      return "refused: its ticket is not valid on that worker";
     case StartRefusal::Other:
       return "refused by its worker";
     case StartRefusal::Expired:
-      return "given back: its worker did not take it in time";
+      return "returned: its worker did not accept it in time";
   }
   return "refused";
 }
@@ -65,8 +70,8 @@
   worker.synced_ = false;
   worker.ordersSent_ = 0;
   orders_.erase(aNode);
-  // Orders that were lost with the last link: the first report says which
-  // starts arrived, and stops are ordered again.
+  // Orders may be lost with the last link. The first report lists the starts
+  // that arrived, and stops are ordered again.
   for (const auto& [key, room] : worker.held_) {
     const auto name = TaskKey::Parse(key.first);
     const auto place = name.has_value() ? Find(*name) : std::nullopt;
@@ -141,13 +146,14 @@
          {},
          aNode,
          aReport.worker_.id_ + ", " + std::to_string(worker.held_.size()) +
-           " runs, nothing was ordered for " +
-           std::to_string(unlinked.count()) + " ms, " +
-           std::to_string(underWay) + " starts were under way");
+           " runs, no orders for " + std::to_string(unlinked.count()) +
+           " ms, " + std::to_string(underWay) + " starts in flight");
   }
 }
 
-/** Starts that were ordered on the last link and not reported on it. */
+/**
+ * Number of starts that were ordered on the last link but not reported on it.
+ */
 std::size_t
 FleetScheduler::OrdersUnderWay(const FleetWorker& aWorker)
 {
@@ -168,13 +174,13 @@
                           const FleetReport& aReport,
                           Instant aNow)
 {
-  // A worker that crashed runs nothing in its new life, and numbers its ends
-  // from one again.
+  // A worker that crashed has no runs in its new incarnation, and numbers its
+  // ends from one again.
   if (!aWorker.facts_.id_.empty()) {
     Note("worker-new-life",
          {},
          aWorker.node_,
-         aWorker.facts_.id_ + " is now " + aReport.worker_.id_);
+         aWorker.facts_.id_ + " was replaced by " + aReport.worker_.id_);
     DropAllRuns(aWorker, "its worker crashed", aNow);
   }
   aWorker.DropKept();
@@ -229,8 +235,8 @@
   task.lastRun_ = std::max(task.lastRun_, aEnd.run_);
   if (aPlace.entry_->job_->IsOver() || task.done_) {
     RemoveRun(aPlace, aWorker.node_, aEnd.run_, aNow);
-    // Until the table says why this end changes nothing, a next leader would
-    // start the task again.
+    // Until the table holds the reason why this end changes nothing, the next
+    // leader would start the task again.
     const bool waits = !IsFinal(aPlace.entry_->storedState_);
     if (waits && aEnd.kind_ == EndKind::Done) {
       Note("end-waits",
@@ -251,7 +257,7 @@
   Note("run-ended",
        aEnd.task_,
        aWorker.node_,
-       "run " + std::to_string(aEnd.run_) + " ended as kind " +
+       "run " + std::to_string(aEnd.run_) + " ended with kind " +
          std::to_string(static_cast<int>(aEnd.kind_)));
   const bool saved = spec.checkpoints_ && !aEnd.checkpoint_.empty();
   if (saved) {
@@ -278,7 +284,7 @@
   RemoveRun(aPlace, aWorker.node_, aEnd.run_, aNow);
   job.OnDone(*aPlace.step_, task, aNow);
   for (TaskRun& copy : task.runs_) {
-    OrderStop(copy.node_, aName.Text(), copy, "a copy ended first");
+    OrderStop(copy.node_, aName.Text(), copy, "another copy completed first");
   }
   if (aPlace.step_->spec_->gang_) {
     OnGangDone(aPlace, aEnd.run_, aNow);
@@ -289,8 +295,9 @@
 void
 FleetScheduler::OnGangDone(Place& aPlace, std::uint32_t aRun, Instant aNow)
 {
-  // The members of a gang end well together, so one such end speaks for all;
-  // a member whose end is lost with its worker must not start the gang again.
+  // All members of a gang complete together, so the completion of one member
+  // implies the others. A member whose end is lost with its worker must not
+  // start the gang again.
   for (FleetTask& member : aPlace.step_->tasks_) {
     if (!member.done_ && member.lastRun_ == aRun) {
       aPlace.entry_->job_->OnDone(*aPlace.step_, member, aNow);
@@ -316,7 +323,8 @@
        aWorker.node_,
        "run " + std::to_string(aEnd.run_));
   if (spec.longRunning_) {
-    // No limit, so no count; a pause, or it would start and fail all the time.
+    // Failures of long-running tasks are not limited, so they do not count as
+    // attempts. The backoff prevents a continuous loop of starts and failures.
     ++task.quickFailures_;
     task.notBefore_ =
       aNow + std::min(kLongestBackoff, kBackoff * task.quickFailures_);
@@ -355,7 +363,10 @@
   for (std::uint32_t i = 0; i < aPlace.step_->tasks_.size(); ++i) {
     const TaskKey member{ aName.job_, aName.occurrence_, aName.step_, i };
     for (TaskRun& run : aPlace.step_->tasks_[i].runs_) {
-      OrderStop(run.node_, member.Text(), run, "its gang broke");
+      OrderStop(run.node_,
+                member.Text(),
+                run,
+                "another member of its gang is not running");
     }
   }
 }
@@ -449,14 +460,14 @@
     const TaskRun* run = place.has_value()
                            ? FindRun(*place->task_, aWorker.node_, key.second)
                            : nullptr;
-    // A start that the side had not seen when it reported is on its way.
+    // A start that the side had not received when it reported is in flight.
     if (run != nullptr && run->orderSequence_ > aReport.ordersSeen_) {
       continue;
     }
     gone.push_back(key);
   }
   for (const auto& [task, run] : gone) {
-    DropRun(aWorker, task, run, "not on its worker", aNow);
+    DropRun(aWorker, task, run, "its worker does not report it", aNow);
   }
 }
 
@@ -495,7 +506,11 @@
          "run " + std::to_string(aFact.run_));
     const bool allowed = !elsewhere || place->step_->spec_->allowsCopies_;
     if (place->entry_->job_->IsOver() || task.done_ || !allowed) {
-      OrderStop(aWorker.node_, aFact.task_, *run, "it must not run here");
+      OrderStop(aWorker.node_,
+                aFact.task_,
+                *run,
+                "it must not run here: its job or task has ended, or it runs "
+                "elsewhere");
     }
   }
   if (run->phase_ == RunPhase::Stopping && run->orderSequence_ == 0) {
--- a/Source/Process/FleetSchedulerSharing.cxx
+++ b/Source/Process/FleetSchedulerSharing.cxx
@@ -1,5 +1,5 @@
-// FleetScheduler: tasks that serve their own users beside backfill: what their
-// latencies teach, and how fast the backfill may work.
+// FleetScheduler: serving tasks beside backfill: learns the interference from
+// measured latencies and sets the pace of backfill.
 
 #include "Process/FleetScheduler.h"
 
@@ -11,33 +11,47 @@
 
 namespace {
 
-/** A serving task over its objective for so long, for whatever cause, makes all
- * backfill beside it stand still until it has recovered: guards against harm
- * that the learned costs don't explain, within the 4 s that users allow. */
+/**
+ * Time that a serving task may exceed its objective, for any cause, before all
+ * backfill beside it is paused until it recovers. Limits harm that the learned
+ * costs do not predict to less than the 4 s that users accept.
+ */
 constexpr Millis kPauseAfter{ 1800 };
 constexpr double kRecovered = 0.75;
-/** Sides that watch closely cost a leader four reports a second each. No more
- * do, of a fleet of any size... */
+/**
+ * Maximum number of workers under high-frequency reporting in a fleet of any
+ * size, because each costs the leader four reports per second.
+ */
 constexpr std::ptrdiff_t kMostWatched = 20;
-/** ...but for those with a task that is this near to its objective. */
+/**
+ * Pressure above which a worker is reported at high frequency beyond that
+ * limit.
+ */
 constexpr double kPressed = 0.75;
-/** What a backfill task uses is measured over half a second. */
+/**
+ * Runtime after which the CPU usage of a backfill run is a valid measurement;
+ * usage is measured over half a second.
+ */
 constexpr Millis kMeasured{ 900 };
-/** Weight of the newest share that backfill got. */
+/** Weight of the newest sample in the CPU share that backfill gets. */
 constexpr double kLearnShare = 0.2;
-/** ...and how fast it is forgotten where no backfill runs. */
+/** Rate at which that share decays where no backfill runs. */
 constexpr double kForgetShare = 0.1;
 
-/** Paces are ordered in steps of so many percent: smaller ones cost orders. */
+/** Granularity of ordered paces in percent; a finer one costs more orders. */
 constexpr std::uint32_t kPaceStep = 10;
 constexpr std::uint32_t kFullPace = 100;
-/** A task that would starve works at this pace at least. */
+/** Lowest pace of a run that would otherwise starve. */
 constexpr std::uint32_t kLeastPace = 5;
-/** Backfill that has worked below this pace for so long moves, with its
- * checkpoint, if it may work twice as fast elsewhere. */
+/**
+ * Backfill below this pace for kSlowFor moves, with its checkpoint, if it can
+ * run at least twice as fast elsewhere.
+ */
 constexpr std::uint32_t kSlowPace = 40;
 constexpr Millis kSlowFor{ 1200 };
-/** Percent of a task without checkpoints that a move may throw away. */
+/**
+ * Progress in percent that a move of a task without checkpoints may discard.
+ */
 constexpr std::uint32_t kLittleWork = 20;
 
 std::uint32_t
@@ -50,7 +64,7 @@
 
 }
 
-/** One run on a worker, with where its task is kept. */
+/** Run on a worker, with its task and the resources it holds. */
 struct FleetScheduler::SharingRun
 {
   std::string name_;
@@ -219,7 +233,7 @@
   TaskRun& run = *aRun.run_;
   run.pace_ = aPace;
   run.everPaced_ = true;
-  // Its progress is judged anew from here.
+  // Progress is evaluated from here on.
   run.progressAt_ = aNow;
   run.firstReportAt_ = aNow;
   run.firstPercent_ = run.percent_;
@@ -233,15 +247,16 @@
                             std::uint32_t aIndex,
                             double aSpeed)
 {
-  // Where all backfill stands still for someone's sake this stands still too,
-  // until PaceBackfill lets it go on with the others.
+  // If all backfill on the worker is paused, the new run is paused too, until
+  // PaceBackfill resumes it with the others.
   const std::uint32_t pace =
     aWorker.backfillPaused_ ? 0 : std::max(kLeastPace, PaceOf(aSpeed));
   if (pace >= kFullPace) {
     return;
   }
-  // A first report comes half a second later: until then it would work at full
-  // speed, and several that start together would disturb at once.
+  // The first report arrives half a second later. Until then the run would work
+  // at full speed, and several runs that start together would interfere at
+  // once.
   TaskRun& run = aStep.tasks_[aIndex].runs_.back();
   run.pace_ = pace;
   run.everPaced_ = true;
@@ -278,7 +293,8 @@
     OrderStop(aWorker.node_,
               aRun.name_,
               run,
-              "it may work at " + std::to_string(run.pace_) + " percent here");
+              "it can work only at " + std::to_string(run.pace_) +
+                " percent on this worker");
   }
 }
 
--- a/Source/Process/FleetTimings.h
+++ b/Source/Process/FleetTimings.h
@@ -5,82 +5,96 @@
 namespace cactusrail {
 
 /**
- * Times that the processes of the fleet must agree on. They rest on each other:
- * what runs on a worker is surely over kAuthority + kAuthoritySlack after the
- * last orders that its side can have taken, see FleetScheduler.
+ * Timing parameters on which all processes of the fleet must agree. They depend
+ * on each other: no run remains on a worker once kAuthority + kAuthoritySlack
+ * have passed since the last orders that its side can have received, see
+ * FleetScheduler.
  */
 
 /**
- * How long the entry that leads goes on without renewing its lease in the
- * table. Longer rides out a table outage, shorter hands over sooner when the
- * leader's host is gone for good: one that is killed takes its own place again,
- * one that alone is without the table yields. Outages that the users describe
- * last 4 to 5 s; in one, nothing new starts once the lease is over.
+ * Validity of the leader's lease in the table without a renewal. A longer lease
+ * survives a longer table outage; a shorter one speeds up the takeover when the
+ * leader's host is lost for good. A leader that was killed gets its own place
+ * again after its restart, and a leader that alone cannot reach the table
+ * yields.
+ *
+ * Users describe table outages of 4 to 5 s. Nothing new starts during an outage
+ * once the lease has expired.
  */
 constexpr Millis kLeaderLease{ 5500 };
 
-/** A renewal is due this long after the last one: some six fit in a lease. */
+/** Interval between lease renewals; about six renewals fit in one lease. */
 constexpr Millis kLeaderRenewal{ 600 };
 
-/** Others look at the lease this often. */
+/** Interval at which the other entries check the lease. */
 constexpr Millis kLeaderWatch{ 700 };
 
 /**
- * Clocks of two hosts may run so much apart within one lease; a follower waits
- * this much longer than the leader goes on. 2 % of the lease, doubled.
+ * Largest clock difference between two hosts over one lease. A follower waits
+ * this much longer than the lease is valid for the leader. Twice a drift of 2 %
+ * over the lease.
  */
 constexpr Millis kLeaderLeaseSlack{ 160 };
 
 /**
- * A side goes on holding what runs on its worker so long after it sent a
- * report that the leader answered. Bridges a change of leader (lease, slack and
- * reading the table: some 6 s) with 3 s to spare; a worker whose machine is
- * gone is given up no sooner.
+ * Time for which a side keeps the runs of its worker after it sent a report
+ * that the leader answered. Covers a change of the leader (lease, slack and
+ * reading the table: about 6 s) with a margin of 3 s. A worker whose machine is
+ * lost is abandoned no sooner.
  */
 constexpr Millis kAuthority{ 9000 };
 
-/** Added before work of an unreachable worker starts elsewhere: drift of two
- * clocks over kAuthority (2 % each) and the way of the last stop. */
+/**
+ * Margin added before work of an unreachable worker starts elsewhere: clock
+ * drift over kAuthority (2 % for each of two clocks) and the transfer of the
+ * last stop.
+ */
 constexpr Millis kAuthoritySlack{ 500 };
 
 /**
- * The lease that a side keeps on its worker's work. It outlasts a restart of
- * the side, which takes up to 4 s with its host's power; what ran on a worker
- * that went silent starts elsewhere no sooner.
+ * Validity of the lease that a side holds on its worker's work. The lease
+ * outlasts a restart of the side, which takes up to 4 s when its host loses
+ * power. Runs of an unresponsive worker start elsewhere no sooner.
  */
 constexpr Millis kWorkerLease{ 4500 };
 
-/** A worker's clock may be so much slower than ours, by the users' platform. */
+/**
+ * Largest fraction by which a worker's clock may run slower than the local
+ * clock, as specified for the users' platform.
+ */
 constexpr double kWorkerClockDrift = 0.02;
 
-/** A side reports at least this often, and the leader answers. */
+/** Longest interval between two reports of a side; the leader answers each. */
 constexpr Millis kReportPeriod{ 1000 };
 
 /**
- * A side that watches closely asks its worker this often and reports each
- * answer: latencies of serving tasks beside backfill climb from half of their
- * objective to six times it within a second.
+ * Interval at which a side polls its worker and reports each answer under
+ * high-frequency reporting. Latencies of serving tasks beside backfill rise
+ * from half of their objective to six times their objective within a second.
  */
 constexpr Millis kCloseWatch{ 250 };
 
-/** The leader's word to watch closely holds so long: until its next orders,
- * and one lost report more. */
+/**
+ * Validity of the leader's request for high-frequency reporting: until the
+ * leader's next orders, plus one lost report.
+ */
 constexpr Millis kWatchHolds{ 2500 };
 
 /**
- * A start ordered on what the table held at some time begins this much earlier
- * than the bound for tasks of cancelled jobs counts from then: the side gives a
- * call to its worker up after 400 ms, and the clocks of leader and side may run
- * 2 % apart meanwhile.
+ * Margin by which a start must begin before the cancellation bound, which
+ * counts from the time at which the table was read for that start. A side
+ * abandons a call to its worker after 400 ms, and the clocks of leader and side
+ * may drift by 2 % in the meantime.
  */
 constexpr Millis kStartMargin{ 500 };
 
-/** An order of a start that could not be carried out for so long at least is
- * not given. */
+/** Shortest remaining validity with which a start is ordered. */
 constexpr Millis kLeastStartTime{ 300 };
 
-/** A side that heard no leader for so long writes its row again: a leader that
- * gave it up has removed it. */
+/**
+ * Time without contact to a leader after which a side writes its row again,
+ * because a leader that abandoned the side has removed the row.
+ */
 constexpr Millis kOrphanedSide{ 5000 };
 
 }
--- a/Tests/Fleet/CancelledJobTest.cxx
+++ b/Tests/Fleet/CancelledJobTest.cxx
@@ -6,11 +6,13 @@
 
 namespace {
 
-/** From the acknowledgement of a cancellation on, no task of the job starts
- * later than this; the users' bound. */
+/**
+ * Longest delay between the acknowledgement of a job's cancellation and a start
+ * of one of its tasks, as agreed with the users.
+ */
 constexpr Millis kCancelBound{ 3000 };
 
-/** A world of one worker that is at rest. */
+/** Returns a world with one idle worker. */
 FleetWorld
 RestingWorld()
 {
@@ -19,8 +21,10 @@
   return world;
 }
 
-/** How much later than its job's cancellation the task was last started; zero
- * for never, or before it. */
+/**
+ * Returns the delay from the job's cancellation to the last start of the task;
+ * zero if there was no start or an earlier one.
+ */
 Millis
 StartedAfter(const FleetWorld& aWorld, Instant aCancelledAt)
 {
@@ -32,12 +36,12 @@
 
 }
 
-// A booking's quote is ordered just as its worker's port goes mute, and the
-// leader's host is lost a moment later. The booking is cancelled, and the
-// caller is told so. When the port answers again, seconds later, the side still
-// has the order and authority enough, and carries it out: the quote starts for
-// nobody. Seen in logs: run-ordered at 2.5 s, start calls without an answer to
-// 4.9 s, cancellation answered at 3.6 s, the call that started it at 9.37 s.
+// Guards against a late start for a cancelled booking. A task is ordered just
+// before its worker stops answering and the leader's host is lost; then the
+// cancellation is acknowledged. Seconds later the worker answers again, and the
+// side still has the order and a valid lease. Log of the failure: run-ordered
+// at 2.5 s, start calls without an answer until 4.9 s, cancellation answered at
+// 3.6 s, successful start call at 9.37 s.
 Test(CancelledJob, OrderOfALostLeaderIsNotCarriedOutLate)
 {
   for (int cancelledAfter = 100; cancelledAfter <= 3100;
@@ -63,18 +67,19 @@
       }
       cr_assert_leq(StartedAfter(world, cancelledAt).count(),
                     kCancelBound.count(),
-                    "cancelled %d ms after the leader was lost, worker mute "
-                    "for %d ms",
+                    "cancelled %d ms after the leader was lost, worker "
+                    "unresponsive for %d ms",
                     cancelledAfter,
                     muteFor);
     }
   }
 }
 
-// A leader on a host with too little processor time is seconds behind: it
-// reads a cancellation long after its caller was told, and meanwhile starts the
-// job's tasks as room comes free. However far behind it is, what it starts it
-// must have known of to be wanted not long before.
+// Guards against starts by a leader that lags seconds behind the table, for
+// instance for lack of CPU time. It reads a cancellation long after the
+// acknowledgement and meanwhile starts tasks of the job as capacity becomes
+// free. Its starts must expire by the time up to which its view of the table is
+// current.
 Test(CancelledJob, LeaderThatIsBehindStartsNothingOfIt)
 {
   for (int lag = 500; lag <= 8000; lag += 500) {
@@ -90,16 +95,16 @@
       world.Run(Millis(9000));
       cr_assert_leq(StartedAfter(world, cancelledAt).count(),
                     kCancelBound.count(),
-                    "leader %d ms behind, room after %d ms",
+                    "leader lag %d ms, room after %d ms",
                     lag,
                     roomAfter);
     }
   }
 }
 
-// Orders are held up on their way: in the kernel of a host that is choked, or
-// by a cut that heals before the connection ends. They arrive seconds later,
-// when the job that they start a task of has been cancelled.
+// Guards against orders that arrive seconds late, after the cancellation of the
+// job: delayed in the kernel of an overloaded host, or by a cut that heals
+// before the connection ends.
 Test(CancelledJob, OrderThatArrivesLateIsNotCarriedOut)
 {
   for (int delay = 200; delay <= 8000; delay += 200) {
@@ -117,9 +122,9 @@
   }
 }
 
-// What guards against late starts must not end work: a worker that is mute for
-// a while, a leader that is behind and orders that are late delay a job that
-// nobody cancelled, and it still runs, once.
+// The protection against late starts must not end valid work: an unresponsive
+// worker, a lagging leader and late orders delay a job that is not cancelled,
+// but the job still runs exactly once.
 Test(CancelledJob, JobThatNobodyCancelledRunsOnceAllTheSame)
 {
   for (int trouble = 500; trouble <= 6000; trouble += 500) {
@@ -134,7 +139,7 @@
     world.orderDelay_ = Millis(0);
     world.Run(Millis(12000));
     cr_assert_eq(
-      world.StateOf("a"), JobState::Completed, "trouble of %d ms", trouble);
+      world.StateOf("a"), JobState::Completed, "faults for %d ms", trouble);
     cr_assert_eq(world.MostRunsAtOnce(), 1);
   }
 }
--- a/Tests/Fleet/FleetFailureTest.cxx
+++ b/Tests/Fleet/FleetFailureTest.cxx
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** The longest that a leader waits for an unreachable host, and then some. */
+/** Longer than a leader waits for an unreachable host. */
 constexpr Millis kGivenUp{ 10500 };
 
 std::string
@@ -44,9 +44,10 @@
   cr_assert_eq(world.StateOf("a"), JobState::Completed);
 }
 
-// A clerk's valuation is stopped, and while it still winds down its worker
-// lists it neither as running nor as ended. The side took it for gone, the
-// leader started it elsewhere: for half a second it ran twice.
+// Guards against two simultaneous runs of a task: while a stopped run winds
+// down, its worker lists it neither as running nor as ended. The side reported
+// the run as gone and the leader started the task elsewhere; for half a second
+// it ran twice.
 Test(FleetFailure, StoppedRunIsNotStartedElsewhereBeforeItEnded)
 {
   FleetWorld world(2, { 1000, 64000, 0 });
@@ -69,9 +70,10 @@
   cr_assert_not(world.EverOverRoom());
 }
 
-// The side's process dies right after it told its worker to stop a run, and
-// its next life asks the worker before that stop is over. The run shows
-// nowhere, so its room was given to another task: the worker was over its room.
+// Guards against an overloaded worker after a restart of its side. The side's
+// process dies right after it sent a stop to its worker, and its next
+// incarnation polls the worker before the stop is complete. The run is not
+// listed, so its resources were given to another task.
 Test(FleetFailure, RestartedSideWaitsForStopsOfItsFormerLife)
 {
   FleetWorld world(2, { 1000, 64000, 0 });
@@ -93,9 +95,9 @@
   cr_assert_eq(world.Starts(FirstTask("urgent")), 1);
 }
 
-// The host with a payout's task is cut off. Starting it again at once would pay
-// twice, never starting it again would lose it: it starts elsewhere once its
-// lease there is surely over.
+// Guards against a double payout and a lost one when a host is cut off: the
+// task starts elsewhere, but only after its lease on that host has certainly
+// expired.
 Test(FleetFailure, TaskOfAnUnreachableHostStartsElsewhereAfterItsLease)
 {
   FleetWorld world(2);
@@ -107,13 +109,15 @@
   const std::size_t holder = world.Host(0).worker_.runs_.empty() ? 1 : 0;
   world.Cut(holder, true);
   world.Run(Millis(3000));
-  cr_assert_eq(world.Starts(FirstTask("payout")), 1, "it may still run there");
+  cr_assert_eq(world.Starts(FirstTask("payout")),
+               1,
+               "the task may still run on the unreachable host");
   world.Run(kGivenUp);
   cr_assert_eq(world.Starts(FirstTask("payout")), 2);
   cr_assert_eq(world.MostRunsAtOnce(), 1);
 }
 
-// A short cut must not cost the work: the side goes on holding it meanwhile.
+// A short cut must not end the run: the side keeps it during the cut.
 Test(FleetFailure, TaskOutlivesAShortCut)
 {
   FleetWorld world(2);
@@ -132,7 +136,7 @@
   cr_assert_eq(world.Starts(FirstTask("payout")), 1);
 }
 
-// The leader dies; what runs is taken over by the next one as it is.
+// The leader dies; the next leader adopts all runs unchanged.
 Test(FleetFailure, NewLeaderAdoptsWhatRuns)
 {
   FleetWorld world(3);
@@ -147,8 +151,8 @@
   }
 }
 
-// The leader dies and one host is out of reach. A task that the new leader
-// knows nothing of may run there: old work waits, new work does not.
+// The leader dies and one host is unreachable. A task that is unknown to the
+// new leader may run there: old work waits, new work does not.
 Test(FleetFailure, NewLeaderStartsNoOldWorkWhileAHostIsUnheard)
 {
   FleetWorld world(2, { 1000, 64000, 0 });
@@ -169,9 +173,8 @@
   cr_assert_eq(world.MostRunsAtOnce(), 1);
 }
 
-// Old work waits for a host that is out of reach, and an operator asks why
-// nothing starts: the log must name the host, not only say nine seconds later
-// that it was given up.
+// Old work waits for an unreachable host. The log must name the host while
+// nothing starts, and not only nine seconds later when the host is abandoned.
 Test(FleetFailure, LogNamesTheHostsThatOldWorkWaitsFor)
 {
   FleetWorld world(3);
@@ -179,14 +182,15 @@
   world.Cut(1, true);
   world.ChangeLeader();
   world.Run(Millis(2500));
-  cr_assert_eq(world.Said("old-work-waits"), "not heard of yet: side1; ");
+  cr_assert_eq(world.Said("old-work-waits"), "no report yet from: side1; ");
   cr_assert_eq(world.Said("old-work-goes-on"), "");
   world.Run(kGivenUp);
   cr_assert_neq(world.Said("old-work-goes-on"), "");
 }
 
-// The table is away when a task ends; the leader dies with the news. The worker
-// must still list the end for the next leader, or the payout would run again.
+// Guards against a second run of a payout: the table is unavailable when the
+// task ends, and the leader dies before the end is stored. The worker must
+// still list the end for the next leader.
 Test(FleetFailure, EndIsAcknowledgedOnlyOnceItIsStored)
 {
   FleetWorld world(1);
@@ -205,7 +209,7 @@
   cr_assert_eq(world.Host(0).worker_.acknowledged_, 1);
 }
 
-// A worker crashes and lives anew at the same address: its work is gone.
+// A worker crashes and restarts at the same address: its runs are lost.
 Test(FleetFailure, WorkOfACrashedWorkerStartsAgain)
 {
   FleetWorld world(1);
@@ -218,8 +222,8 @@
   cr_assert_eq(world.Starts(FirstTask("a")), 2);
 }
 
-// A task that fails wherever it runs must not go round for ever; one that a bad
-// worker fails gets its second attempt elsewhere.
+// A task that fails on every worker must not be retried forever; a task that
+// fails on a bad worker gets its second attempt elsewhere.
 Test(FleetFailure, HopelessJobFailsAfterItsAttempts)
 {
   FleetWorld world(3);
@@ -248,8 +252,8 @@
   }
 }
 
-// The count of failed runs outlives the leader; an end that is reported twice
-// counts once, or a good job would fail before its time.
+// The number of failed runs survives a change of the leader. An end that is
+// reported twice counts once; otherwise a good job would fail too early.
 Test(FleetFailure, FailedRunCountsOnceAcrossLeaders)
 {
   FleetWorld world(1);
@@ -280,9 +284,10 @@
   cr_assert_eq(world.Starts("a.0.0.1") + world.Starts("a.0.0.2"), 0);
 }
 
-// A job is cancelled and its leader dies before it noted the end. The next one
-// reads the cancellation first of all; without the time of day at that point it
-// took the job for long over and forgot it: its caller was told "no such job".
+// Guards against a cancelled job that becomes unknown: its leader dies before
+// the end of the job is stored. The next leader reads the cancellation first;
+// without the wall-clock time it considered the retention of the job over and
+// deleted it, and the caller got "no such job".
 Test(FleetFailure, JobCancelledBeforeATakeoverIsStillKnown)
 {
   FleetWorld world(1);
@@ -298,7 +303,7 @@
   cr_assert_eq(*state, JobState::Cancelled);
 }
 
-// A caller cancels so fast that the word comes before the job.
+// A caller cancels so early that the cancellation arrives before the job.
 Test(FleetFailure, CancellationMayComeBeforeItsJob)
 {
   FleetWorld world(1);
@@ -324,9 +329,9 @@
   cr_assert_eq(world.MostRunsAtOnce(), 1);
 }
 
-// A worker failed all that it started and was set aside; its fault is over, but
-// its pause goes on, and all other workers are full. The watcher was away for
-// twenty seconds beside an empty worker.
+// Guards against a downtime beside an empty worker: a worker failed all its
+// runs and was cordoned. Its fault is over but the cordon still holds, and all
+// other workers are full. The watcher's downtime was twenty seconds.
 Test(FleetFailure, LongRunningTaskTriesAWorkerSetAsideWhenOthersAreFull)
 {
   FleetWorld world(2, { 2000, 64000, 0 });
@@ -367,7 +372,9 @@
   gang.steps_.front().gang_ = true;
   world.Submit(gang);
   world.Run(Millis(2000));
-  cr_assert_eq(world.Starts("gang.0.0.0"), 0, "two workers hold two members");
+  cr_assert_eq(world.Starts("gang.0.0.0"),
+               0,
+               "two workers have capacity for only two members");
   JobDescription fits = MakeJob("fits", 2, 2000);
   fits.steps_.front().gang_ = true;
   world.Submit(fits);
@@ -384,7 +391,7 @@
   world.Run(Millis(1500));
   JobDescription job = MakeJob("timed", 1, 1000);
   job.occurrences_ = 3;
-  // The world's wall clock is ahead of its other clock by a fixed amount.
+  // The wall clock is ahead of the other clock by a fixed amount.
   job.startAtMs_ = 1700000000000 + 1000000 + 3500;
   job.intervalMs_ = 2000;
   world.Submit(job);
@@ -411,7 +418,7 @@
 
 namespace {
 
-/** A leader of that epoch with one side that has reported. */
+/** Returns a leader of that epoch with one side that has reported. */
 FleetScheduler
 LeaderWithOneSide(std::uint64_t aEpoch, Instant aNow)
 {
@@ -426,10 +433,10 @@
 
 }
 
-// A side's link breaks and is up again. Until its first report the leader does
-// not know which orders arrived, nor whether this is a new life of the side: an
-// order would extend leases on what may be given up already, and the task
-// would run twice.
+// Guards against two runs of a task after a link is restored. Until the first
+// report the leader knows neither which orders arrived nor whether the side has
+// a new incarnation. An order would extend leases of runs that may be abandoned
+// already.
 Test(FleetFailure, NothingIsOrderedBeforeTheFirstReportOfALink)
 {
   const Instant now = At(100000);
@@ -445,9 +452,9 @@
   cr_assert_eq(scheduler.TakeOrders(now + Millis(2200), kWallMs).size(), 1);
 }
 
-// A leader dies with a start under way whose answer nobody has seen. Were the
-// next leader to number the task's runs from one again, the late start would be
-// taken for its own, and a stop of one would end the other.
+// A leader dies with a start in flight whose outcome is unknown. If the next
+// leader numbered the runs of the task from one again, it would take the late
+// start for its own, and a stop of one run would end the other.
 Test(FleetFailure, RunsOfALaterLeaderHaveHigherNumbers)
 {
   const Instant now = At(100000);
@@ -459,14 +466,15 @@
     cr_assert_eq(orders.size(), 1);
     cr_assert_eq(orders[0].orders_.starts_.size(), 1);
     const std::uint32_t run = orders[0].orders_.starts_[0].run_;
-    // More than the attempts that any task has under one leader.
+    // More than the number of attempts of any task under one leader.
     cr_assert_gt(run, last + 1000 * (epoch > 1 ? 1 : 0));
     last = run;
   }
 }
 
-// Guards against a task that is done and runs again: its end was acknowledged
-// because its job had failed, and power was lost before that was stored.
+// Guards against a second run of a completed task: its end was acknowledged
+// because its job had failed, and a power loss followed before the failure was
+// stored.
 Test(FleetFailure, EndOfAFailedJobIsAcknowledgedOnlyOnceTheFailureIsStored)
 {
   FleetWorld world(2);
--- a/Tests/Fleet/FleetHarmTest.cxx
+++ b/Tests/Fleet/FleetHarmTest.cxx
@@ -4,8 +4,8 @@
 
 using namespace cactusrail;
 
-// A batch task beside a watcher makes its answers ten times as slow. Its users
-// count four seconds of that as harm: before that the batch must stand still.
+// A batch task makes a watcher's answers ten times slower. Users count four
+// seconds of that as harm, so the batch task must be paused earlier.
 Test(FleetHarm, BackfillThatDisturbsStandsStillWithinTwoSeconds)
 {
   HarmBench bench;
@@ -22,9 +22,10 @@
     }));
 }
 
-// A watcher's answers climb to six times their objective within a second of a
-// batch's start. Heard of once a second, that is acted on too late: its side
-// watches closely, beside backfill or not, so that the load is known before.
+// A watcher's latency rises to six times its objective within a second of a
+// batch task's start, and reports once a second would be too late. The side of
+// a serving worker reports at high frequency with or without backfill, so that
+// the load is known in advance.
 Test(FleetHarm, SideOfAWorkerThatServesWatchesClosely)
 {
   HarmBench bench;
@@ -39,9 +40,9 @@
   cr_assert_eq(bench.watchMicros_, 0);
 }
 
-// Backfill that is harmless one task at a time, and over the objective all the
-// same for another cause: it pauses, and goes on once the watcher has
-// recovered.
+// The latency exceeds its objective for a cause other than backfill, which is
+// harmless one task at a time: backfill pauses anyway and resumes once the
+// watcher has recovered.
 Test(FleetHarm, BackfillPausesWhateverTheCauseAndGoesOn)
 {
   HarmBench bench;
@@ -59,9 +60,10 @@
   cr_assert_eq(bench.paces_.back().percent_, 100);
 }
 
-// A batch whose image is known to disturb the only worker's watcher, at a tenth
-// of its speed already, waited for ever with a third of the processors idle. It
-// runs slowly instead.
+// Guards against a batch job that never starts because its image is known to
+// disturb the only worker's watcher even at a tenth of its speed: it waited
+// forever with a third of the processors idle. It must run at a low pace
+// instead.
 Test(FleetHarm, BackfillThatWouldDisturbEverywhereRunsSlowly)
 {
   HarmBench bench;
@@ -78,8 +80,8 @@
   cr_assert(bench.stops_.empty());
 }
 
-// A new leader takes up what the last one learned: users are not disturbed to
-// learn it again.
+// A new leader takes over what the previous leader learned, so that users are
+// not disturbed by relearning.
 Test(FleetHarm, WhatWasLearnedOutlivesTheLeader)
 {
   HarmBench first;
@@ -95,10 +97,11 @@
   cr_assert_not(fit.harmless_);
 }
 
-// Eight batch tasks are placed in one pass, before the first report. Each alone
-// would be borne: at full speed until then, all together made the watcher's
-// answers ten times as slow. Those for which not all of the room is left start
-// at a lower pace.
+// Guards against interference by tasks that start together: eight batch tasks
+// are placed in one pass before the first report. Each alone is harmless, but
+// at full speed until that report all together made the watcher's answers ten
+// times slower. Tasks that exceed the remaining load limit must start at a
+// lower pace.
 Test(FleetHarm, TasksThatStartTogetherStartAtThePaceThatIsBorne)
 {
   for (const double cost : { 0.04, 0.045, 0.05, 0.055, 0.06, 0.065 }) {
--- a/Tests/Fleet/FleetRandomTest.cxx
+++ b/Tests/Fleet/FleetRandomTest.cxx
@@ -14,7 +14,7 @@
 constexpr unsigned kSeeds = 120;
 #endif
 
-/** One fault, or one thing that users do. */
+/** Applies one random fault or user action. */
 void
 Disturb(FleetWorld& aWorld, std::mt19937& aRandom, int aRound)
 {
@@ -55,9 +55,9 @@
 
 }
 
-// Cuts, restarts, changes of leader, crashes and outages in random order: no
-// task has two runs at once, no worker holds more than its room, and once all
-// is calm again every job ends.
+// Cuts, restarts, leader changes, crashes and table outages in random order: no
+// task has two runs at once, no worker exceeds its capacity, and every job ends
+// once the faults are over.
 Test(FleetRandom, NothingRunsTwiceNorOverRoomAndAllEnds)
 {
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
@@ -76,7 +76,8 @@
     }
     world.Run(Millis(45000));
     cr_assert_eq(world.MostRunsAtOnce(), 1, "seed %u ran a task twice", seed);
-    cr_assert_not(world.EverOverRoom(), "seed %u exceeded room", seed);
+    cr_assert_not(
+      world.EverOverRoom(), "seed %u exceeded the room of a worker", seed);
     for (int round = 0; round < kRounds; ++round) {
       const auto state =
         world.Scheduler().StateOf("job" + std::to_string(round));
--- a/Tests/Fleet/FleetWorld.cxx
+++ b/Tests/Fleet/FleetWorld.cxx
@@ -55,7 +55,7 @@
   return job;
 }
 
-// The worker.
+// Worker.
 
 CallAnswer
 WorkerFake::Take(const WorkerCall& aCall, Instant aNow)
@@ -159,7 +159,7 @@
     ends_.pop_front();
   }
   for (const Run& run : runs_) {
-    // What is being stopped shows nowhere until it has ended.
+    // A run that is being stopped is not listed until it has ended.
     if (run.stopsAt_.has_value()) {
       continue;
     }
@@ -250,7 +250,7 @@
     }));
 }
 
-// The world.
+// Fleet.
 
 FleetWorld::FleetWorld(std::size_t aHosts, FleetRoom aRoom)
   : now_(At(1000000))
@@ -483,7 +483,9 @@
   DeliverReports();
 }
 
-/** As FleetLead does: a link is up for the scheduler with its first report. */
+/**
+ * As in FleetLead, the scheduler considers a link up from its first report on.
+ */
 void
 FleetWorld::DeliverReports()
 {
--- a/Tests/Fleet/FleetWorld.h
+++ b/Tests/Fleet/FleetWorld.h
@@ -16,14 +16,15 @@
 
 namespace cactusrail {
 
-/** A time of the virtual clock. */
+/** Returns a time of the virtual clock. */
 Instant
 At(std::int64_t aMillis);
 
 /**
- * A worker that keeps to the rules of the users' platform: leases on its own
- * clock, fences, run numbers, ends that it lists until they are acknowledged,
- * stops that take time and meanwhile show nowhere.
+ * Simulated worker that follows the rules of the users' platform: leases on its
+ * own clock, fences, run numbers, ends that it lists until they are
+ * acknowledged, and stops that take time. A run that is being stopped is listed
+ * neither as running nor as ended.
  */
 class WorkerFake
 {
@@ -43,36 +44,37 @@
   }
 
   CallAnswer Take(const WorkerCall& aCall, Instant aNow);
-  /** Ends what is due. */
+  /** Ends the runs that are due. */
   void Advance(Instant aNow);
-  /** A run of the task fails now, by its own fault. */
+  /** Makes a run of the task fail. */
   void Fail(const std::string& aTask);
-  /** A crash: nothing is left, and a new life begins. */
+  /** Simulates a crash: the worker restarts with a new identity and no runs. */
   void Crash(std::string aNewId);
-  /** How many runs of a task go on now, those being stopped included. */
+  /** Number of current runs of a task, including those being stopped. */
   std::size_t RunsOf(const std::string& aTask) const;
 
   std::string id_;
   Millis taskTime_{ 1000 };
-  /** Tasks whose name begins so last: they are at work until they are stopped.
+  /**
+   * Prefixes of the names of long-running tasks, which run until they are
+   * stopped.
    */
   std::set<std::string> lasting_;
   Millis stopTime_{ 500 };
   bool fails_ = false;
-  /** Its process has ended: its port refuses. */
+  /** The process has ended: its port refuses connections. */
   bool gone_ = false;
-  /** Its port takes calls and closes them without an answer; nothing is done.
-   */
+  /** The port accepts calls and closes them without an answer or an effect. */
   bool mute_ = false;
   std::vector<Run> runs_;
   std::deque<EndFact> ends_;
   std::uint64_t fence_ = 0;
   std::uint64_t acknowledged_ = 0;
-  /** Starts that were taken, as "task/run". */
+  /** Accepted starts, as "task/run". */
   std::vector<std::string> started_;
-  /** When each of them was taken. */
+  /** Time of each accepted start. */
   std::vector<Instant> startedAt_;
-  /** Calls that it was sent, answered or not. */
+  /** Number of received calls, answered or not. */
   std::size_t calls_ = 0;
 
 private:
@@ -87,7 +89,7 @@
   std::map<std::string, std::uint32_t> highestEnded_;
 };
 
-/** A side with its worker, as they run on one host. */
+/** Simulated host: a side with its worker. */
 struct HostFake
 {
   std::string node_;
@@ -99,17 +101,18 @@
   bool linked_ = false;
   bool cut_ = false;
   std::uint64_t sequence_ = 0;
-  /** Rises with each link; messages of links before are lost. */
+  /** Number of the current link. Messages of earlier links are lost. */
   std::uint64_t link_ = 0;
-  /** The leader has had a report on it. */
+  /** Whether the leader has received a report on the link. */
   bool up_ = false;
   ReportEncoder encoder_ = {};
   ReportDecoder decoder_ = {};
 };
 
 /**
- * A leading scheduler and hosts on one virtual clock, with messages that take
- * no time. A store that can be away: changes are then not stored.
+ * A leader's scheduler and hosts on one virtual clock, with messages that take
+ * no time by default. The store can be unavailable; changes are not stored
+ * then.
  */
 class FleetWorld
 {
@@ -117,49 +120,49 @@
   explicit FleetWorld(std::size_t aHosts,
                       FleetRoom aRoom = { 16000, 64000, 0 });
 
-  /** Lets time pass in steps of 10 ms. */
+  /** Advances the time in steps of 10 ms. */
   void Run(Millis aFor);
   void Submit(const JobDescription& aJob);
   void Cancel(const std::string& aJob);
-  /** The leader dies and another one takes over at once. */
+  /** Replaces the leader by a new one at once. */
   void ChangeLeader();
-  /** The leader's host is gone; ChangeLeader() makes another one lead. */
+  /** Removes the leader until ChangeLeader() starts a new one. */
   void LoseLeader();
-  /** The side's process dies and starts again. */
+  /** Kills the process of the side and restarts it. */
   void RestartSide(std::size_t aHost);
-  /** A cut between the leader and the host. */
+  /** Cuts or restores the connection between the leader and the host. */
   void Cut(std::size_t aHost, bool aCut);
-  /** The link is lost with all that is on its way, and made anew at once. */
+  /** Drops the link with all messages in flight; a new link follows at once. */
   void Relink(std::size_t aHost);
 
   FleetScheduler& Scheduler() { return *scheduler_; }
   HostFake& Host(std::size_t aHost) { return hosts_.at(aHost); }
   Instant Now() const { return now_; }
-  /** The wall clock, in ms since 1970. */
+  /** Wall-clock time in ms since 1970. */
   std::int64_t WallMs() const;
   JobState StateOf(const std::string& aJob);
-  /** Most runs of one task that ever went on at the same time. */
+  /** Largest number of simultaneous runs of one task so far. */
   std::size_t MostRunsAtOnce() const { return mostAtOnce_; }
-  /** A worker held more than its room at some time. */
+  /** Whether a worker ever exceeded its capacity. */
   bool EverOverRoom() const { return overRoom_; }
   std::size_t Starts(const std::string& aTask) const;
-  /** What leaders said of an event in their logs; empty if they never did. */
+  /** Details of all log events of that name, empty if there are none. */
   std::string Said(std::string_view aEvent) const;
-  /** When a task was last started anywhere; none if it never was. */
+  /** Time of the last start of a task on any worker; none if there was none. */
   std::optional<Instant> LastStart(const std::string& aTask) const;
 
   bool storeAway_ = false;
-  /** What the table holds reaches the leader so much later. */
+  /** Delay after which the leader sees a cancellation in the table. */
   Millis leaderLag_{ 0 };
-  /** Orders take so long to their side. */
+  /** Delivery time of orders to their side. */
   Millis orderDelay_{ 0 };
-  /** Reports take so long to the leader. */
+  /** Delivery time of reports to the leader. */
   Millis reportDelay_{ 0 };
-  /** So many reports reached the leader but did not follow the last one. */
+  /** Number of reports that reached the leader out of sequence. */
   std::size_t reportsRefused_ = 0;
 
 private:
-  /** Orders on their way. */
+  /** Orders in flight. */
   struct SentOrders
   {
     Instant arrivesAt_;
@@ -167,7 +170,7 @@
     SideOrders orders_;
   };
 
-  /** A report on its way. */
+  /** Report in flight. */
   struct SentReport
   {
     Instant arrivesAt_;
@@ -193,9 +196,9 @@
   std::vector<HostFake> hosts_;
   std::map<std::string, JobDescription> jobs_;
   std::map<std::string, JobProgress> progress_;
-  /** Cancellations and when they were stored. */
+  /** Cancellations with the times at which they were stored. */
   std::vector<std::pair<Instant, std::string>> cancelled_;
-  /** So many of them the leader has been told. */
+  /** Number of cancellations that the leader has received. */
   std::size_t cancelsTold_ = 0;
   std::deque<SentOrders> sentOrders_;
   std::deque<SentReport> sentReports_;
@@ -206,14 +209,14 @@
   bool overRoom_ = false;
 };
 
-/** The wall clock's start, in ms since 1970. */
+/** Start of the wall clock, in ms since 1970. */
 constexpr std::int64_t kWallMs = 1700000000000;
 
-/** What the side of an idle worker of 16 processors reports first. */
+/** First report of the side of an idle worker with 16 processors. */
 FleetReport
 IdleReport(Instant aNow);
 
-/** A job of one step. */
+/** Returns a job of one step. */
 JobDescription
 MakeJob(const std::string& aId, std::uint32_t aTasks, std::int64_t aCpuMilli);
 
--- a/Tests/Fleet/HarmBench.h
+++ b/Tests/Fleet/HarmBench.h
@@ -11,8 +11,8 @@
 namespace cactusrail {
 
 /**
- * A leader and one worker whose tasks report what the test says, on a virtual
- * clock. Owned by a test.
+ * A leader and one worker on a virtual clock; the test sets what the worker's
+ * tasks report.
  */
 struct HarmBench
 {
@@ -53,7 +53,7 @@
     scheduler_.OnReport("side", report, now_);
   }
 
-  /** A run of the job has ended so; reported with the next report. */
+  /** Ends a run of the job; the next report contains the end. */
   void End(const std::string& aJob, EndKind aKind)
   {
     const auto run =
@@ -64,7 +64,7 @@
     runs_.erase(run);
   }
 
-  /** Lets time pass; each half second the worker reports. */
+  /** Advances the time; the worker reports every half second. */
   void Run(Millis aFor)
   {
     const Instant until = now_ + aFor;
@@ -118,7 +118,7 @@
   std::vector<StopOrder> stops_;
   std::vector<PaceOrder> paces_;
   std::uint32_t latency_ = 4;
-  /** As last ordered. */
+  /** Period of high-frequency reporting that was ordered last. */
   std::uint64_t watchMicros_ = 0;
 };
 
--- a/Tests/Fleet/LastingTaskTest.cxx
+++ b/Tests/Fleet/LastingTaskTest.cxx
@@ -11,8 +11,10 @@
 
 namespace {
 
-/** Users allow a task that lasts to be away for so long after a run of it has
- * ended, where there is room for it. */
+/**
+ * Longest downtime of a long-running task after the end of a run that users
+ * accept, where there is capacity for the task.
+ */
 constexpr Millis kMostAway{ 6000 };
 
 constexpr const char* kWatched = "watch.0.0.0";
@@ -35,7 +37,7 @@
   return job;
 }
 
-/** Callers hand in more quotes than there is room for. */
+/** Fleet for which callers submit more quotes than it has capacity for. */
 class BusyFleet
 {
 public:
@@ -50,7 +52,7 @@
     }
   }
 
-  /** So many quotes a second, one after another. */
+  /** Submits aQuotesASecond quotes per second at regular intervals. */
   void Run(Millis aFor, int aQuotesASecond)
   {
     const Millis apart(1000 / aQuotesASecond);
@@ -61,7 +63,10 @@
     }
   }
 
-  /** Fills two hosts with feeds and quotes; one feed's only task fails. */
+  /**
+   * Fills two hosts with long-running tasks and quotes; then fails the only
+   * task of one long-running job.
+   */
   void FailWatcherAfter(Millis aFor)
   {
     world_.Submit(Watcher("watch", 1, 8000));
@@ -86,12 +91,13 @@
 
 }
 
-// A tracking feed fails by itself, as one does now and then, in a fleet that is
-// full: callers' quotes take each gap that opens, and the feed goes behind
-// them. It was away for as long as the fleet was full: 14 s in the log,
-// run-failed at 20.8 s and run-ordered at 34.8 s, with 400 of 5440 processors
-// in use by quotes all the while and 121 freed by another feed's end.
-// One process a moment: each takes half a minute of sanitizers.
+// Guards against a long downtime of a failed tracking feed in a full fleet,
+// where callers' quotes take all capacity that becomes free. In one log the
+// feed was down from run-failed at 20.8 s to run-ordered at 34.8 s, 14 s, as
+// long as the fleet was full. Quotes used 400 of 5440 processors all the time,
+// and 121 became free when another feed ended.
+// One process per time of failure, because each takes half a minute under
+// sanitizers.
 ParameterizedTestParameters(LastingTask,
                             IsBackWithinSecondsThoughUrgentWorkTakesEachGap)
 {
@@ -108,12 +114,12 @@
   const Instant failedAt = fleet.world_.Now();
   fleet.Run(kMostAway, 40);
   cr_assert(fleet.world_.LastStart(kWatched) > failedAt,
-            "failed after %d ms, not back",
+            "failed after %d ms, did not restart",
             4000 + *aWait);
 }
 
-// The same while the leader changes: the next one knows of the feed what the
-// table says, and not when its last run ended.
+// The same during a change of the leader. The next leader knows the feed only
+// from the table, which does not hold the end of its last run.
 ParameterizedTestParameters(LastingTask,
                             IsBackWithinSecondsAfterAChangeOfLeader)
 {
@@ -132,13 +138,14 @@
   fleet.world_.ChangeLeader();
   fleet.Run(kMostAway, 40);
   cr_assert(fleet.world_.LastStart(kWatched) > changedAt,
-            "failed after %d ms, not back",
+            "failed after %d ms, did not restart",
             4000 + *aWait);
 }
 
-// Feeds hold nearly all of a fleet, and a worker of it crashes. If its feeds
-// took the room that is left for quotes, no caller would get one until feeds
-// end: of each worker short work keeps at least as much as a feed takes.
+// Guards against starvation of quotes after a worker crashes in a fleet that is
+// nearly full of feeds: if the feeds of that worker took the capacity that is
+// left for quotes, no caller would get one until feeds end. Short work keeps at
+// least as much of each worker as a feed takes.
 Test(LastingTask, TakesNoRoomThatUrgentWorkCannotSpare)
 {
   BusyFleet fleet(4, 16000);
@@ -150,7 +157,7 @@
   fleet.world_.Host(crashed).worker_.gone_ = true;
   fleet.world_.Host(crashed).worker_.runs_.clear();
   fleet.world_.Cut(crashed, true);
-  // Long enough for the crashed worker to be given up.
+  // Long enough for the crashed worker to be abandoned.
   fleet.Run(Millis(20000), 4);
   constexpr int kLast = 12;
   int served = 0;
@@ -163,7 +170,7 @@
 
 namespace {
 
-/** A fleet that one job fills; more tasks of it than there is room for. */
+/** Fleet that is filled by one job, with more tasks than fit. */
 class CrowdedFleet
 {
 public:
@@ -183,7 +190,7 @@
     return world_.Host(0).worker_.RunsOf(aTask) > 0 ? 0 : 1;
   }
 
-  /** How many tasks of the job run now. */
+  /** Number of tasks of the job that run now. */
   std::size_t Running()
   {
     return world_.Host(0).worker_.runs_.size() +
@@ -195,8 +202,8 @@
 
 }
 
-// Guards against a task of the same job that never ran and takes the room of
-// one that failed while that one pauses.
+// Guards against a task of the same job that never ran and takes the resources
+// of a failed task during its restart backoff.
 ParameterizedTestParameters(LastingTask, KeepsItsRoomFromTasksThatNeverRan)
 {
   static std::array<int, 4> failures{ 1, 2, 5, 12 };
@@ -219,8 +226,8 @@
   cr_assert_eq(fleet.Running(), 4);
 }
 
-// Guards against callers' work that takes the room of a task that failed while
-// that one pauses.
+// Guards against callers' work that takes the resources of a failed task during
+// its restart backoff.
 Test(LastingTask, KeepsItsRoomFromUrgentWork)
 {
   BusyFleet fleet(2, 64000);
@@ -230,7 +237,7 @@
   cr_assert(fleet.world_.LastStart(kWatched) > failedAt);
 }
 
-// Guards against room that stays kept for a task that needs none any more.
+// Guards against a reservation for a task that no longer needs it.
 Test(LastingTask, RoomOfACancelledJobIsFreeAtOnce)
 {
   CrowdedFleet fleet;
@@ -242,8 +249,8 @@
   cr_assert_eq(fleet.Running(), 4);
 }
 
-// Guards against tasks that never ran and start along with those of their job
-// that come back, before those of a younger job have.
+// Guards against tasks that never ran and start together with restarting tasks
+// of their job, before the restarting tasks of a younger job.
 Test(LastingTask, GoesBeforeTasksThatNeverRanOfAJobThatComesBackToo)
 {
   FleetWorld world(2, { 16000, 512000, 0 });
@@ -268,8 +275,8 @@
   cr_assert_eq(world.Starts("watch.0.0.3"), 0);
 }
 
-// Guards against tasks that never ran, of an older job, and that take the room
-// of those that lost theirs with their worker.
+// Guards against tasks of an older job that never ran and take the resources of
+// tasks that lost theirs in a crash of their worker.
 Test(LastingTask, GoesBeforeTasksThatNeverRan)
 {
   FleetWorld world(3, { 16000, 512000, 0 });
--- a/Tests/Fleet/StarvingBackfillTest.cxx
+++ b/Tests/Fleet/StarvingBackfillTest.cxx
@@ -1,10 +1,10 @@
-// An accountant's batch that disturbs a watcher on every worker crawls, though
-// two thirds of the processors are free: after each of its tasks it waits 1.5 s
-// for a better place again, although there was none the last time. On a day
-// with this fault such jobs started one task each 2 to 4 s from 31 to 51 s
-// (their "run-ordered" lines) and were not done at its end. Some of their tasks
-// were also stopped for being slow ("it may work at 5 percent here") and, once
-// they had stopped, waited again: three times in 13 s for one task.
+// Guards against slow progress of a backfill job that disturbs a watcher on
+// every worker while two thirds of the processors are free: after each task the
+// job waited 1.5 s again for a better worker, although there was none before.
+// In one recorded run such jobs started one task every 2 to 4 s from 31 to 51 s
+// (their "run-ordered" lines) and did not complete. Some of their tasks were
+// also stopped for their low pace of 5 percent and then waited again: three
+// times in 13 s for one task.
 
 #include "HarmBench.h"
 
@@ -14,12 +14,12 @@
 
 namespace {
 
-/** Longer than the first wait for a good place, and a report. */
+/** Longer than the first wait for a better worker plus one report. */
 constexpr Millis kFirstWait{ 2500 };
-/** A report, and the pass that places after it. */
+/** One report and the placement pass after it. */
 constexpr Millis kNextReport{ 600 };
 
-/** A batch job of several tasks that disturbs the only worker's watcher. */
+/** Batch job of several tasks that disturbs the watcher of the only worker. */
 struct DisturbingBatch
 {
   DisturbingBatch()
@@ -33,7 +33,7 @@
     bench_.Run(kFirstWait);
   }
 
-  /** A task of the batch would triple the watcher's load. */
+  /** A task of the batch job would triple the watcher's load. */
   void TeachHarm()
   {
     ContentionModel& model = bench_.scheduler_.Interference().Model();
@@ -46,8 +46,8 @@
 
 }
 
-// The first task of the job waits for a better place; once there was none, each
-// further one starts as soon as the one before has ended.
+// The first task of the job waits for a better worker. After a wait in vain,
+// each further task starts as soon as the previous one has ended.
 Test(StarvingBackfill, JobWaitsOnceForABetterPlaceNotOnceATask)
 {
   DisturbingBatch scene;
@@ -60,7 +60,7 @@
   cr_assert(bench.Runs("batch"));
 }
 
-// A task that was stopped for its slow pace is back as soon as it has ended.
+// A task that was stopped for its low pace restarts as soon as it has ended.
 Test(StarvingBackfill, StoppedTaskIsBackAtOnce)
 {
   DisturbingBatch scene;
@@ -71,8 +71,8 @@
   cr_assert(bench.Runs("batch"));
 }
 
-// One at a time, and the first one slowly: it must not disturb more than it did
-// when it waited between its tasks.
+// One task at a time, and the first at a low pace: the job must not disturb
+// more than with a wait between its tasks.
 Test(StarvingBackfill, OneTaskAtATimeAtALowPace)
 {
   DisturbingBatch scene;
@@ -90,9 +90,8 @@
   }
 }
 
-// The watcher is over its objective and all backfill beside it stands still:
-// a task that starts there all the same stands still as well, until it has
-// recovered.
+// The watcher exceeds its objective and all backfill beside it is paused: a
+// task that starts there is paused too until the watcher recovers.
 Test(StarvingBackfill, StartsAtRestWhereBackfillIsPaused)
 {
   DisturbingBatch scene;
@@ -109,9 +108,8 @@
   cr_assert_gt(bench.paces_.back().percent_, 0);
 }
 
-// A caller's urgent task is placed on a worker where backfill stands still for
-// a watcher's sake. It is no backfill: ordered to stand still with it, it would
-// never be told to go on, as only backfill is.
+// An urgent task is placed on a worker where backfill is paused. If the task
+// started paused too, it would stay so, because only backfill is resumed.
 Test(StarvingBackfill, UrgentTaskStartsAtFullPaceWhereBackfillIsPaused)
 {
   DisturbingBatch scene;
