--- a/Source/Process/FleetScheduler.cxx
+++ b/Source/Process/FleetScheduler.cxx
@@ -26,16 +26,16 @@
  * Delay before the row of an unreachable side is removed; no leader has to wait
  * for the side by then.
  */
-constexpr Millis kForgetSide{ 20000 };
+constexpr Millis kUnreachableSideRetention{ 20000 };
 /**
  * Time within which all reachable sides have reported to a new leader. A
  * restarted side first waits about a second for the stops of its previous
  * incarnation.
  */
-constexpr Millis kUsualHold{ 2000 };
+constexpr Millis kUsualSyncTime{ 2000 };
 /** Maximum number of names of such sides in one log event. */
-constexpr std::size_t kMostNames = 8;
-constexpr Millis kForgetLeft{ 1000 };
+constexpr std::size_t kMaxLoggedSides = 8;
+constexpr Millis kDepartedSideRetention{ 1000 };
 
 }
 
@@ -51,10 +51,10 @@
 }
 
 void
-FleetScheduler::Note(std::string_view aEvent,
-                     std::string aTask,
-                     std::string aNode,
-                     std::string aDetail)
+FleetScheduler::LogEvent(std::string_view aEvent,
+                         std::string aTask,
+                         std::string aNode,
+                         std::string aDetail)
 {
   events_.push_back(
     { aEvent, std::move(aTask), std::move(aNode), std::move(aDetail) });
@@ -68,7 +68,7 @@
 
 // Jobs.
 
-std::optional<FleetScheduler::Place>
+std::optional<FleetScheduler::TaskLocation>
 FleetScheduler::Find(const TaskKey& aName)
 {
   const auto found = jobs_.find(aName.job_);
@@ -81,7 +81,7 @@
   if (task == nullptr) {
     return std::nullopt;
   }
-  return Place{ &found->second, step, task };
+  return TaskLocation{ &found->second, step, task };
 }
 
 FleetScheduler::ReadyKey
@@ -127,16 +127,16 @@
   }
   JobEntry& entry = jobs_[aSpec.id_];
   entry.job_ = std::make_unique<FleetJob>(aSpec, firstRun_);
-  entry.old_ = !loaded_;
+  entry.fromEarlierLeader_ = !loaded_;
   if (earlyCancels_.erase(aSpec.id_) > 0) {
     FinishJob(entry, JobState::Cancelled);
     return;
   }
   if (loaded_) {
-    Note("job-queued",
-         aSpec.id_,
-         {},
-         "priority " + std::to_string(aSpec.priority_));
+    LogEvent("job-queued",
+             aSpec.id_,
+             {},
+             "priority " + std::to_string(aSpec.priority_));
   }
   if (const auto due = entry.job_->NextDue()) {
     due_.insert({ *due, aSpec.id_ });
@@ -158,7 +158,7 @@
     const std::uint32_t begun = job.Begun();
     job.BeginDue(aWallMs, aNow);
     for (std::uint32_t i = begun; loaded_ && i < job.Begun(); ++i) {
-      NoteAsked(job, aNow);
+      RecordDemand(job, aNow);
     }
     MarkAllReady(found->second);
     if (const auto due = job.NextDue()) {
@@ -189,7 +189,7 @@
   job.Finish(aState, wallMs_);
   StopAllRuns(job);
   MarkChanged(aEntry);
-  Note("job-ended", job.Spec().id_, {}, std::string(JobStateText(aState)));
+  LogEvent("job-ended", job.Spec().id_, {}, std::string(JobStateText(aState)));
 }
 
 void
@@ -199,7 +199,7 @@
     for (FleetStep& step : occurrence.steps_) {
       for (std::uint32_t i = 0; i < step.tasks_.size(); ++i) {
         const TaskKey name{ aJob.Spec().id_, number, step.index_, i };
-        DropKeptRoom(name, step.tasks_[i]);
+        ReleaseReservation(name, step.tasks_[i]);
         for (TaskRun& run : step.tasks_[i].runs_) {
           OrderStop(run.node_, name.Text(), run, "job ended");
         }
@@ -209,7 +209,7 @@
 }
 
 void
-FleetScheduler::SettleJob(JobEntry& aEntry)
+FleetScheduler::ResolveJob(JobEntry& aEntry)
 {
   FleetJob& job = *aEntry.job_;
   if (job.IsOver()) {
@@ -252,18 +252,18 @@
   std::size_t open = 0;
   for (auto& [id, entry] : jobs_) {
     open += entry.job_->IsOver() ? 0 : 1;
-    SettleJob(entry);
+    ResolveJob(entry);
   }
   for (auto& [node, worker] : workers_) {
     worker.suspect_ = !worker.synced_;
     worker.grantedAt_ = aNow;
     worker.lostAt_ = aNow;
   }
-  Note("loaded",
-       {},
-       {},
-       std::to_string(open) + " open jobs, " + std::to_string(workers_.size()) +
-         " sides");
+  LogEvent("loaded",
+           {},
+           {},
+           std::to_string(open) + " open jobs, " +
+             std::to_string(workers_.size()) + " sides");
 }
 
 bool
@@ -279,31 +279,31 @@
  * the sides if the wait takes longer than reachable sides need.
  */
 bool
-FleetScheduler::HoldsOldWork(Instant aNow)
+FleetScheduler::DefersOldWork(Instant aNow)
 {
-  const bool holds = AnySuspect();
-  if (holds && !holdNoted_ && aNow - loadedAt_ > kUsualHold) {
-    holdNoted_ = true;
+  const bool defer = AnySuspect();
+  if (defer && !deferralLogged_ && aNow - loadedAt_ > kUsualSyncTime) {
+    deferralLogged_ = true;
     std::string names;
     std::size_t count = 0;
     for (const auto& [node, worker] : workers_) {
-      if (worker.suspect_ && ++count <= kMostNames) {
+      if (worker.suspect_ && ++count <= kMaxLoggedSides) {
         names += (names.empty() ? "" : ", ") + node;
       }
     }
-    if (count > kMostNames) {
-      names += " and " + std::to_string(count - kMostNames) + " more";
+    if (count > kMaxLoggedSides) {
+      names += " and " + std::to_string(count - kMaxLoggedSides) + " more";
     }
-    Note("old-work-waits", {}, {}, "no report yet from: " + names);
-  } else if (!holds && holdNoted_) {
-    holdNoted_ = false;
+    LogEvent("old-work-waits", {}, {}, "no report yet from: " + names);
+  } else if (!defer && deferralLogged_) {
+    deferralLogged_ = false;
     const auto waited = std::chrono::duration_cast<Millis>(aNow - loadedAt_);
-    Note("old-work-goes-on",
-         {},
-         {},
-         std::to_string(waited.count()) + " ms after loading");
+    LogEvent("old-work-goes-on",
+             {},
+             {},
+             std::to_string(waited.count()) + " ms after loading");
   }
-  return holds;
+  return defer;
 }
 
 // Sides.
@@ -342,7 +342,8 @@
   for (const auto& [node, worker] : workers_) {
     // If a worker that reported its departure returns, its side writes a new
     // row.
-    const Millis after = worker.left_ ? kForgetLeft : kForgetSide;
+    const Millis after =
+      worker.left_ ? kDepartedSideRetention : kUnreachableSideRetention;
     if (worker.registered_ && !worker.linked_ && !worker.suspect_ &&
         worker.held_.empty() && aNow - worker.lostAt_ > after) {
       nodes.push_back(node);
@@ -352,7 +353,7 @@
 }
 
 void
-FleetScheduler::GiveUpUnreachable(Instant aNow)
+FleetScheduler::AbandonUnreachable(Instant aNow)
 {
   for (auto& [node, worker] : workers_) {
     if (worker.linked_ && worker.synced_) {
@@ -362,7 +363,7 @@
     if (!over || (!worker.suspect_ && worker.held_.empty())) {
       continue;
     }
-    Note("worker-given-up", {}, node, "its side is unreachable");
+    LogEvent("worker-given-up", {}, node, "its side is unreachable");
     worker.suspect_ = false;
     DropAllRuns(worker, "its side is unreachable", aNow);
   }
@@ -384,7 +385,7 @@
     if (found == jobs_.end()) {
       continue;
     }
-    found->second.batchState_ = found->second.job_->State();
+    found->second.stateInBatch_ = found->second.job_->State();
     batch.jobs_.emplace_back(id, found->second.job_->Progress());
     storing_.push_back(id);
   }
@@ -401,7 +402,7 @@
     if (found == jobs_.end()) {
       continue;
     }
-    found->second.storedState_ = found->second.batchState_;
+    found->second.storedState_ = found->second.stateInBatch_;
     if (IsFinal(found->second.storedState_)) {
       found->second.job_->Shrink();
     }
--- a/Source/Process/FleetScheduler.h
+++ b/Source/Process/FleetScheduler.h
@@ -165,7 +165,7 @@
   std::size_t JobCount() const { return jobs_.size(); }
   std::size_t ReadyCount() const;
   /** Number of scans of all workers for a step under this leader. */
-  std::uint64_t FleetLooks() const { return fleetLooks_; }
+  std::uint64_t FleetLooks() const { return workerScans_; }
   const std::map<std::string, FleetWorker>& Workers() const { return workers_; }
 
 private:
@@ -173,11 +173,11 @@
   {
     std::unique_ptr<FleetJob> job_;
     /** Stored before this leader took over; waits until no side is suspect. */
-    bool old_ = false;
+    bool fromEarlierLeader_ = false;
     /** State that is stored in the table. */
     JobState storedState_ = JobState::Pending;
     /** State in the batch that is being stored. */
-    JobState batchState_ = JobState::Pending;
+    JobState stateInBatch_ = JobState::Pending;
     /** Time since which no task has run although one was ready. */
     std::optional<Instant> idleSince_;
     /**
@@ -185,8 +185,8 @@
      * again.
      */
     bool starving_ = false;
-    /** The log reports the job as deferred; see IsHeldBack(). */
-    bool heldBack_ = false;
+    /** The log reports the job as deferred; see IsDeferred(). */
+    bool deferred_ = false;
   };
 
   /** Sort key of a ready step. */
@@ -209,7 +209,7 @@
     }
   };
 
-  struct Place
+  struct TaskLocation
   {
     JobEntry* entry_ = nullptr;
     FleetStep* step_ = nullptr;
@@ -217,7 +217,7 @@
   };
 
   // Jobs.
-  std::optional<Place> Find(const TaskKey& aName);
+  std::optional<TaskLocation> Find(const TaskKey& aName);
   static ReadyKey KeyOf(const FleetJob& aJob, const FleetStep& aStep);
   void MarkReady(const FleetJob& aJob, const FleetStep& aStep);
   void MarkAllReady(JobEntry& aEntry);
@@ -225,58 +225,58 @@
   void BeginDueJobs(Instant aNow, std::int64_t aWallMs);
   void FinishJob(JobEntry& aEntry, JobState aState);
   void StopAllRuns(FleetJob& aJob);
-  void SettleJob(JobEntry& aEntry);
+  void ResolveJob(JobEntry& aEntry);
 
   // Reports.
-  std::size_t OrdersUnderWay(const FleetWorker& aWorker);
-  void OnNewLife(FleetWorker& aWorker,
-                 const FleetReport& aReport,
-                 Instant aNow);
-  void TakeEnd(FleetWorker& aWorker, const EndFact& aEnd, Instant aNow);
+  std::size_t StartsInFlight(const FleetWorker& aWorker);
+  void OnNewIncarnation(FleetWorker& aWorker,
+                        const FleetReport& aReport,
+                        Instant aNow);
+  void HandleEnd(FleetWorker& aWorker, const EndFact& aEnd, Instant aNow);
   bool ApplyEnd(FleetWorker& aWorker,
                 const EndFact& aEnd,
                 const TaskKey& aName,
-                Place& aPlace,
+                TaskLocation& aPlace,
                 Instant aNow);
   void OnRunDone(FleetWorker& aWorker,
                  const EndFact& aEnd,
-                 Place& aPlace,
+                 TaskLocation& aPlace,
                  const TaskKey& aName,
                  Instant aNow);
   void OnRunFailed(FleetWorker& aWorker,
                    const EndFact& aEnd,
-                   Place& aPlace,
+                   TaskLocation& aPlace,
                    const TaskKey& aName,
                    Instant aNow);
-  void OnGangDone(Place& aPlace, std::uint32_t aRun, Instant aNow);
-  void TakeRefusal(FleetWorker& aWorker,
-                   const RefusedRun& aRefused,
-                   Instant aNow);
+  void OnGangDone(TaskLocation& aPlace, std::uint32_t aRun, Instant aNow);
+  void HandleRefusal(FleetWorker& aWorker,
+                     const RefusedRun& aRefused,
+                     Instant aNow);
   void Reconcile(FleetWorker& aWorker,
                  const FleetReport& aReport,
                  Instant aNow);
-  void TakeRun(FleetWorker& aWorker, const RunFact& aFact, Instant aNow);
+  void HandleRun(FleetWorker& aWorker, const RunFact& aFact, Instant aNow);
   void DropRun(FleetWorker& aWorker,
                const std::string& aTask,
                std::uint32_t aRun,
                std::string_view aWhy,
                Instant aNow);
-  void RemoveRun(Place& aPlace,
+  void RemoveRun(TaskLocation& aPlace,
                  const std::string& aNode,
                  std::uint32_t aRun,
                  Instant aNow);
-  void BreakGang(Place& aPlace, const TaskKey& aName);
+  void BreakGang(TaskLocation& aPlace, const TaskKey& aName);
   void DropAllRuns(FleetWorker& aWorker, std::string_view aWhy, Instant aNow);
-  void GiveUpUnreachable(Instant aNow);
+  void AbandonUnreachable(Instant aNow);
   bool AnySuspect() const;
-  bool HoldsOldWork(Instant aNow);
+  bool DefersOldWork(Instant aNow);
 
   // Placement.
   /**
    * Time at which starts that are decided on the current view of the table
    * expire.
    */
-  Instant StartsUntil() const;
+  Instant StartExpiry() const;
   bool MayStart(Instant aNow);
   void PlaceReady(Instant aNow);
   /** Returns the ready steps in their current placement order. */
@@ -284,7 +284,7 @@
   JobRank RankNow(const FleetJob& aJob, const FleetStep& aStep) const;
   bool PlaceStep(const ReadyKey& aKey, Instant aNow);
   /** Records that a task of the step found no worker. */
-  void NoteMiss(const FleetJob& aJob, const FleetStep& aStep, Instant aNow);
+  void RecordMiss(const FleetJob& aJob, const FleetStep& aStep, Instant aNow);
   bool MissesAgain(JobEntry& aEntry, const FleetStep& aStep, Instant aNow);
   /**
    * Places a task. If it fits on no worker, records and logs the miss, and
@@ -298,10 +298,10 @@
                  FleetStep& aStep,
                  std::uint32_t aIndex,
                  Instant aNow);
-  bool PlaceReturned(JobEntry& aEntry,
-                     FleetStep& aStep,
-                     std::uint32_t aIndex,
-                     Instant aNow);
+  bool PlaceWithReservation(JobEntry& aEntry,
+                            FleetStep& aStep,
+                            std::uint32_t aIndex,
+                            Instant aNow);
   void PlaceOn(std::size_t aOption,
                JobEntry& aEntry,
                FleetStep& aStep,
@@ -315,9 +315,9 @@
   /** Collects the workers for the tasks of one step in options_. */
   void FillOptions(const FleetJob& aJob, const FleetStep& aStep, Instant aNow);
   /** Updates the option on which a task of the step was placed. */
-  void NotePlaced(std::size_t aOption,
-                  const FleetJob& aJob,
-                  const FleetStep& aStep);
+  void UpdateOption(std::size_t aOption,
+                    const FleetJob& aJob,
+                    const FleetStep& aStep);
   /** Returns the best of options_ for a task, or none if waiting is better. */
   std::optional<std::size_t> ChooseAmongOptions(const FleetJob& aJob,
                                                 const FleetStep& aStep,
@@ -347,94 +347,94 @@
     TaskRun* run_ = nullptr;
   };
   /** Runs to stop on one worker so that a task fits there. */
-  struct RoomPlan
+  struct PreemptionPlan
   {
     /** Runs that are already being stopped free enough resources. */
-    bool underWay_ = false;
+    bool inFlight_ = false;
     /** Enough resources are free once stops_ have ended. */
-    bool enough_ = false;
+    bool sufficient_ = false;
     std::vector<PreemptibleRun> stops_;
   };
   /**
    * Preempts runs of lower priorities on the worker where the fewest have to
    * stop.
    */
-  void MakeRoom(const FleetJob& aJob, const FleetStep& aStep, Instant aNow);
-  RoomPlan PlanRoom(FleetWorker& aWorker,
-                    const FleetRoom& aWanted,
-                    std::int64_t aPriority);
+  void PreemptFor(const FleetJob& aJob, const FleetStep& aStep, Instant aNow);
+  PreemptionPlan PlanPreemption(FleetWorker& aWorker,
+                                const FleetRoom& aWanted,
+                                std::int64_t aPriority);
   /** Returns the preemptible runs, those that lose the least work first. */
   std::vector<PreemptibleRun> Preemptible(FleetWorker& aWorker,
                                           std::int64_t aPriority);
 
   // Long-running tasks.
   /** Records the demand of one more occurrence of the job. */
-  void NoteAsked(const FleetJob& aJob, Instant aNow);
+  void RecordDemand(const FleetJob& aJob, Instant aNow);
   /** Whether a new long-running job is deferred in favor of short work. */
-  bool IsHeldBack(JobEntry& aEntry, const FleetStep& aStep, Instant aNow);
+  bool IsDeferred(JobEntry& aEntry, const FleetStep& aStep, Instant aNow);
   /**
    * CPU that started long-running jobs hold, or wait for, on the workers of the
    * service, in thousandths of a processor.
    */
-  std::int64_t StandingCpuMilli(std::string_view aService) const;
+  std::int64_t LongRunningCpuMilli(std::string_view aService) const;
   /** Total and used CPU of a service's workers. */
-  struct ServiceRoom
+  struct ServiceCapacity
   {
     std::int64_t cpuMilli_ = 0;
     std::int64_t usedCpuMilli_ = 0;
   };
-  ServiceRoom RoomOfService(std::string_view aService) const;
+  ServiceCapacity CapacityOfService(std::string_view aService) const;
   /** Start of the downtime of the task; none if it never ran. */
-  std::optional<Instant> AwaySince(const JobEntry& aEntry,
-                                   const FleetTask& aTask) const;
+  std::optional<Instant> DowntimeStart(const JobEntry& aEntry,
+                                       const FleetTask& aTask) const;
   /** Whether a task of the step that ran before waits for its restart. */
-  bool HasReturning(const JobEntry& aEntry, const FleetStep& aStep) const;
+  bool HasRestarting(const JobEntry& aEntry, const FleetStep& aStep) const;
   /** Reserves the resources of a failed run until its task restarts. */
-  void KeepRoomOfFailed(FleetWorker& aWorker,
-                        const TaskKey& aName,
-                        Place& aPlace,
-                        Instant aNow);
-  void DropKeptRoom(const TaskKey& aName, FleetTask& aTask);
+  void ReserveForRestart(FleetWorker& aWorker,
+                         const TaskKey& aName,
+                         TaskLocation& aPlace,
+                         Instant aNow);
+  void ReleaseReservation(const TaskKey& aName, FleetTask& aTask);
   /**
    * Whether the rate limits of the log permit an event on the task's wait now.
    */
-  bool MayNoteWait(FleetTask& aTask, Instant aNow);
+  bool MayLogWait(FleetTask& aTask, Instant aNow);
   /** Describes the capacity that a task of the step finds in options_. */
   std::string DescribeWait(const JobEntry& aEntry,
                            const FleetStep& aStep,
                            Instant aNow) const;
   /** Logs why a long-running task that ran before still waits. */
-  void NoteLastingWaits(const JobEntry& aEntry,
-                        FleetStep& aStep,
-                        std::uint32_t aIndex,
+  void LogLongRunningWait(const JobEntry& aEntry,
+                          FleetStep& aStep,
+                          std::uint32_t aIndex,
+                          Instant aNow);
+  void ReserveWorkerFor(const JobEntry& aEntry,
+                        const FleetStep& aStep,
+                        const FleetTask& aTask,
                         Instant aNow);
-  void KeepRoomFor(const JobEntry& aEntry,
-                   const FleetStep& aStep,
-                   const FleetTask& aTask,
-                   Instant aNow);
 
   // Maintenance of runs.
   void OrderStop(const std::string& aNode,
                  const std::string& aTask,
                  TaskRun& aRun,
                  std::string_view aWhy);
-  void CareForRuns(FleetWorker& aWorker, Instant aNow);
-  void CareForRun(FleetWorker& aWorker,
-                  const TaskKey& aName,
-                  Place& aPlace,
-                  TaskRun& aRun,
-                  Instant aNow);
-  void LeaveDraining(FleetWorker& aWorker,
-                     const TaskKey& aName,
-                     Place& aPlace,
-                     TaskRun& aRun,
-                     Instant aNow);
+  void MaintainRuns(FleetWorker& aWorker, Instant aNow);
+  void MaintainRun(FleetWorker& aWorker,
+                   const TaskKey& aName,
+                   TaskLocation& aPlace,
+                   TaskRun& aRun,
+                   Instant aNow);
+  void EvacuateDraining(FleetWorker& aWorker,
+                        const TaskKey& aName,
+                        TaskLocation& aPlace,
+                        TaskRun& aRun,
+                        Instant aNow);
 
   // Serving tasks beside backfill.
   struct SharingRun;
   std::vector<SharingRun> SharingRuns(FleetWorker& aWorker);
-  void WatchServing(FleetWorker& aWorker, Instant aNow);
-  void WatchClosely(FleetWorker& aWorker, bool aServes);
+  void MonitorServing(FleetWorker& aWorker, Instant aNow);
+  void UpdateReportRate(FleetWorker& aWorker, bool aHasServing);
   void PauseBackfill(FleetWorker& aWorker,
                      std::span<const SharingRun> aRuns,
                      Instant aNow);
@@ -463,10 +463,10 @@
                      Instant aNow);
 
   FleetOrders& OrdersFor(FleetWorker& aWorker);
-  void Note(std::string_view aEvent,
-            std::string aTask,
-            std::string aNode,
-            std::string aDetail = {});
+  void LogEvent(std::string_view aEvent,
+                std::string aTask,
+                std::string aNode,
+                std::string aDetail = {});
 
   std::uint64_t epoch_;
   std::uint32_t firstRun_;
@@ -488,24 +488,24 @@
   /** All changes stored before this time are known. */
   Instant tableAsOf_;
   /** Starts are withheld because the view of the table is too old. */
-  bool withheld_ = false;
+  bool startsWithheld_ = false;
   /** The log reports that old work waits for sides. */
-  bool holdNoted_ = false;
+  bool deferralLogged_ = false;
   std::int64_t wallMs_ = 0;
   WorkerHealth health_;
   BackfillInterference interference_;
   DurationModel durations_;
   RoomReservations reservations_;
-  StandingRoom standing_;
+  StandingRoom longRunningAdmission_;
   PlacementMisses misses_;
   std::vector<FleetEvent> events_;
   /**
-   * Number of events of NoteLastingWaits() in the current period, and the end
+   * Number of events of LogLongRunningWait() in the current period, and the end
    * of that period.
    */
-  std::size_t waitNotes_ = 0;
-  Instant waitNotesUntil_;
-  std::uint64_t fleetLooks_ = 0;
+  std::size_t loggedWaits_ = 0;
+  Instant waitLogPeriodEnd_;
+  std::uint64_t workerScans_ = 0;
   /** Scratch buffer of a placement; kept to avoid allocations. */
   std::vector<WorkerOption> options_;
 };
--- a/Source/Process/FleetSchedulerCare.cxx
+++ b/Source/Process/FleetSchedulerCare.cxx
@@ -13,7 +13,7 @@
  * Time without progress after which a run counts as stalled. Sides report every
  * half second, and one percent of the longest task takes less than that.
  */
-constexpr Millis kStall{ 1600 };
+constexpr Millis kStallTimeout{ 1600 };
 
 /** Time without an answer of the worker after which a start is withdrawn. */
 constexpr Millis kStartTimeout{ 3000 };
@@ -25,7 +25,7 @@
 constexpr Millis kStallPause{ 5000 };
 
 /** Time after which the speed of a run is evaluated. */
-constexpr Millis kJudge{ 700 };
+constexpr Millis kMinRateSample{ 700 };
 
 /**
  * Ratio of the remaining time here to the expected time elsewhere above which a
@@ -41,9 +41,9 @@
 constexpr std::uint32_t kMaxMoves = 2;
 
 /** Weight of the newest sample in the slowness of a worker. */
-constexpr double kLearnSlowness = 0.25;
+constexpr double kSlownessWeight = 0.25;
 /** Fraction by which the slowness of a worker decays with each report. */
-constexpr double kForgetSlowness = 0.05;
+constexpr double kSlownessDecay = 0.05;
 
 }
 
@@ -60,10 +60,10 @@
   aRun.phase_ = RunPhase::Stopping;
   aRun.orderSequence_ = found->second.ordersSent_ + 1;
   OrdersFor(found->second).stops_.push_back({ aTask, aRun.run_ });
-  Note("run-stopped",
-       aTask,
-       aNode,
-       "run " + std::to_string(aRun.run_) + ": " + std::string(aWhy));
+  LogEvent("run-stopped",
+           aTask,
+           aNode,
+           "run " + std::to_string(aRun.run_) + ": " + std::string(aWhy));
 }
 
 double
@@ -98,21 +98,22 @@
                     micros / 1000,
                     1 / static_cast<double>(aStep.tasks_.size()));
   const double slowness = std::clamp(micros / expected, 0.5, 10.0);
-  aWorker.slowness_ += kLearnSlowness * (slowness - aWorker.slowness_);
+  aWorker.slowness_ += kSlownessWeight * (slowness - aWorker.slowness_);
   aWorker.slowness_ = std::max(1.0, aWorker.slowness_);
 }
 
 void
-FleetScheduler::CareForRuns(FleetWorker& aWorker, Instant aNow)
+FleetScheduler::MaintainRuns(FleetWorker& aWorker, Instant aNow)
 {
-  aWorker.slowness_ += kForgetSlowness * (1 - aWorker.slowness_);
+  aWorker.slowness_ += kSlownessDecay * (1 - aWorker.slowness_);
   std::vector<std::pair<std::string, std::uint32_t>> keys;
   for (const auto& [key, room] : aWorker.held_) {
     keys.push_back(key);
   }
   for (const auto& [task, number] : keys) {
     const auto name = TaskKey::Parse(task);
-    std::optional<Place> place = name.has_value() ? Find(*name) : std::nullopt;
+    std::optional<TaskLocation> place =
+      name.has_value() ? Find(*name) : std::nullopt;
     if (!place.has_value()) {
       continue;
     }
@@ -126,31 +127,31 @@
         place->task_->avoid_.push_back(aWorker.node_);
         OrderStop(aWorker.node_, task, run, "its start got no answer");
       } else if (run.phase_ == RunPhase::Running) {
-        CareForRun(aWorker, *name, *place, run, aNow);
+        MaintainRun(aWorker, *name, *place, run, aNow);
       }
     }
   }
-  WatchServing(aWorker, aNow);
+  MonitorServing(aWorker, aNow);
 }
 
 void
-FleetScheduler::CareForRun(FleetWorker& aWorker,
-                           const TaskKey& aName,
-                           Place& aPlace,
-                           TaskRun& aRun,
-                           Instant aNow)
+FleetScheduler::MaintainRun(FleetWorker& aWorker,
+                            const TaskKey& aName,
+                            TaskLocation& aPlace,
+                            TaskRun& aRun,
+                            Instant aNow)
 {
   const StepSpec& spec = *aPlace.step_->spec_;
   FleetTask& task = *aPlace.task_;
   if (aWorker.facts_.draining_) {
-    LeaveDraining(aWorker, aName, aPlace, aRun, aNow);
+    EvacuateDraining(aWorker, aName, aPlace, aRun, aNow);
     return;
   }
   if (!aRun.reported_ || spec.gang_ || aRun.pace_ < 100 ||
       (spec.longRunning_ && aRun.percent_ >= 100)) {
     return;
   }
-  if (aNow - aRun.progressAt_ > kStall && task.moves_ < kMaxMoves) {
+  if (aNow - aRun.progressAt_ > kStallTimeout && task.moves_ < kMaxMoves) {
     aWorker.avoidUntil_ = aNow + kStallPause;
     ++task.moves_;
     task.avoid_.push_back(aWorker.node_);
@@ -159,21 +160,25 @@
   }
   const double elapsed =
     static_cast<double>((aNow - aRun.firstReportAt_).count());
-  const double gained = static_cast<double>(aRun.percent_) -
-                        static_cast<double>(aRun.firstPercent_);
-  if (spec.longRunning_ || aNow - aRun.firstReportAt_ < kJudge || gained < 2 ||
-      task.moves_ >= kMaxMoves) {
+  const double gainedPercent = static_cast<double>(aRun.percent_) -
+                               static_cast<double>(aRun.firstPercent_);
+  if (spec.longRunning_ || aNow - aRun.firstReportAt_ < kMinRateSample ||
+      gainedPercent < 2 || task.moves_ >= kMaxMoves) {
     return;
   }
   const FleetStep& step = *aPlace.step_;
   const bool siblings = step.timed_ > 0;
-  const double whole = 1000 * ExpectedMillis(*aPlace.entry_->job_, step);
-  const double here = elapsed / gained * (100.0 - aRun.percent_);
-  const bool trusted = siblings || aWorker.slowness_ > kMoveFactor;
-  if (trusted && here > kMoveFactor * whole && here - whole > kMoveGainMicros) {
+  const double expectedMicros =
+    1000 * ExpectedMillis(*aPlace.entry_->job_, step);
+  const double remainingMicros =
+    elapsed / gainedPercent * (100.0 - aRun.percent_);
+  const bool comparable = siblings || aWorker.slowness_ > kMoveFactor;
+  if (comparable && remainingMicros > kMoveFactor * expectedMicros &&
+      remainingMicros - expectedMicros > kMoveGainMicros) {
     ++task.moves_;
     task.avoid_.push_back(aWorker.node_);
-    aWorker.slowness_ += kLearnSlowness * (here / whole - aWorker.slowness_);
+    aWorker.slowness_ +=
+      kSlownessWeight * (remainingMicros / expectedMicros - aWorker.slowness_);
     OrderStop(aWorker.node_,
               aName.Text(),
               aRun,
@@ -182,11 +187,11 @@
 }
 
 void
-FleetScheduler::LeaveDraining(FleetWorker& aWorker,
-                              const TaskKey& aName,
-                              Place& aPlace,
-                              TaskRun& aRun,
-                              Instant aNow)
+FleetScheduler::EvacuateDraining(FleetWorker& aWorker,
+                                 const TaskKey& aName,
+                                 TaskLocation& aPlace,
+                                 TaskRun& aRun,
+                                 Instant aNow)
 {
   const StepSpec& spec = *aPlace.step_->spec_;
   if (spec.gang_) {
@@ -196,15 +201,15 @@
     OrderStop(aWorker.node_, aName.Text(), aRun, "its worker is draining");
     return;
   }
-  const double gained = static_cast<double>(aRun.percent_) -
-                        static_cast<double>(aRun.firstPercent_);
+  const double gainedPercent = static_cast<double>(aRun.percent_) -
+                               static_cast<double>(aRun.firstPercent_);
   const double elapsed =
     static_cast<double>((aNow - aRun.firstReportAt_).count());
-  double left = 1000 * ExpectedMillis(*aPlace.entry_->job_, *aPlace.step_);
-  if (gained >= 2) {
-    left = elapsed / gained * (100.0 - aRun.percent_);
+  double remaining = 1000 * ExpectedMillis(*aPlace.entry_->job_, *aPlace.step_);
+  if (gainedPercent >= 2) {
+    remaining = elapsed / gainedPercent * (100.0 - aRun.percent_);
   }
-  if (left > static_cast<double>(aWorker.facts_.remainingMicros_)) {
+  if (remaining > static_cast<double>(aWorker.facts_.remainingMicros_)) {
     OrderStop(aWorker.node_,
               aName.Text(),
               aRun,
--- a/Source/Process/FleetSchedulerLasting.cxx
+++ b/Source/Process/FleetSchedulerLasting.cxx
@@ -15,20 +15,20 @@
  * reserved for it. Short work ends on that worker within about two seconds;
  * users accept a downtime of six seconds.
  */
-constexpr Millis kPatience{ 2000 };
+constexpr Millis kReservationDelay{ 2000 };
 
 /**
  * Validity of the reservation for a failed run; the restart backoff of its task
  * is shorter. Later a worker is reserved for the task.
  */
-constexpr Millis kKeepsRoom = kPatience;
+constexpr Millis kRestartReservation = kReservationDelay;
 
 /**
  * Interval between log events on the wait of one task, and the maximum number
  * of such events per interval.
  */
-constexpr Millis kWaitNotePeriod{ 1000 };
-constexpr std::size_t kMostWaitNotes = 8;
+constexpr Millis kWaitLogPeriod{ 1000 };
+constexpr std::size_t kMaxLoggedWaits = 8;
 
 /**
  * At most one of this many workers is reserved at a time, so that short work
@@ -41,7 +41,7 @@
  * this multiple of the resources of the task, so that short work keeps at least
  * as much there.
  */
-constexpr std::int64_t kTimesItsRoom = 2;
+constexpr std::int64_t kMinCapacityFactor = 2;
 
 /**
  * Time that a run occupies its resources in addition to its work: for its
@@ -50,23 +50,24 @@
 constexpr Millis kRunOverhead{ 150 };
 
 bool
-LeavesRoomFor(const FleetWorker& aWorker, const FleetRoom& aRoom)
+LeavesCapacityFor(const FleetWorker& aWorker, const FleetRoom& aRoom)
 {
   const FleetRoom& all = aWorker.facts_.room_;
-  const FleetRoom& lasting = aWorker.lasting_;
-  const auto leaves =
-    [](std::int64_t aAll, std::int64_t aLasting, std::int64_t aWanted) {
-      return aAll - aLasting >= kTimesItsRoom * aWanted;
+  const FleetRoom& longRunning = aWorker.lasting_;
+  const auto leavesEnough =
+    [](std::int64_t aAll, std::int64_t aLongRunning, std::int64_t aWanted) {
+      return aAll - aLongRunning >= kMinCapacityFactor * aWanted;
     };
-  return leaves(all.cpuMilli_, lasting.cpuMilli_, aRoom.cpuMilli_) &&
-         leaves(all.memoryMb_, lasting.memoryMb_, aRoom.memoryMb_) &&
-         leaves(all.accelerators_, lasting.accelerators_, aRoom.accelerators_);
+  return leavesEnough(all.cpuMilli_, longRunning.cpuMilli_, aRoom.cpuMilli_) &&
+         leavesEnough(all.memoryMb_, longRunning.memoryMb_, aRoom.memoryMb_) &&
+         leavesEnough(
+           all.accelerators_, longRunning.accelerators_, aRoom.accelerators_);
 }
 
 }
 
 void
-FleetScheduler::NoteAsked(const FleetJob& aJob, Instant aNow)
+FleetScheduler::RecordDemand(const FleetJob& aJob, Instant aNow)
 {
   const JobDescription& spec = aJob.Spec();
   for (const StepSpec& step : spec.steps_) {
@@ -76,18 +77,19 @@
     const double millis =
       durations_.ExpectedMillis(spec.queue_, step.estimateMs_) +
       static_cast<double>(kRunOverhead.count());
-    standing_.OnAsked(spec.service_,
-                      spec.priority_,
-                      static_cast<double>(step.count_) *
-                        static_cast<double>(step.cpuMilli_) * millis,
-                      aNow);
+    longRunningAdmission_.OnAsked(spec.service_,
+                                  spec.priority_,
+                                  static_cast<double>(step.count_) *
+                                    static_cast<double>(step.cpuMilli_) *
+                                    millis,
+                                  aNow);
   }
 }
 
-FleetScheduler::ServiceRoom
-FleetScheduler::RoomOfService(std::string_view aService) const
+FleetScheduler::ServiceCapacity
+FleetScheduler::CapacityOfService(std::string_view aService) const
 {
-  ServiceRoom room;
+  ServiceCapacity room;
   for (const auto& [node, worker] : workers_) {
     if (worker.synced_ && !worker.facts_.draining_ &&
         worker.facts_.service_ == aService) {
@@ -99,7 +101,7 @@
 }
 
 std::int64_t
-FleetScheduler::StandingCpuMilli(std::string_view aService) const
+FleetScheduler::LongRunningCpuMilli(std::string_view aService) const
 {
   std::int64_t sum = 0;
   for (const auto& [node, worker] : workers_) {
@@ -128,7 +130,7 @@
 }
 
 bool
-FleetScheduler::IsHeldBack(JobEntry& aEntry,
+FleetScheduler::IsDeferred(JobEntry& aEntry,
                            const FleetStep& aStep,
                            Instant aNow)
 {
@@ -139,46 +141,47 @@
   const JobDescription& spec = job.Spec();
   const std::int64_t wanted =
     static_cast<std::int64_t>(aStep.tasks_.size()) * aStep.spec_->cpuMilli_;
-  const std::int64_t held = StandingCpuMilli(spec.service_);
-  const ServiceRoom room = RoomOfService(spec.service_);
-  const double most =
-    standing_.MostCpuMilli(spec.service_, spec.priority_, room.cpuMilli_, aNow);
+  const std::int64_t held = LongRunningCpuMilli(spec.service_);
+  const ServiceCapacity room = CapacityOfService(spec.service_);
+  const double limit = longRunningAdmission_.MostCpuMilli(
+    spec.service_, spec.priority_, room.cpuMilli_, aNow);
   // Users count a job as lost if it waits while half of the capacity is free.
   const bool idle = room.usedCpuMilli_ < room.cpuMilli_ / 2;
-  const bool holds = !idle && static_cast<double>(held + wanted) > most;
-  if (holds != aEntry.heldBack_) {
-    aEntry.heldBack_ = holds;
-    Note(holds ? "standing-held-back" : "standing-admitted",
-         spec.id_,
-         {},
-         "it requests " + std::to_string(wanted) +
-           ", other long-running jobs hold " + std::to_string(held) + " of " +
-           std::to_string(static_cast<std::int64_t>(most)) +
-           " permitted thousandths of a processor");
+  const bool defer = !idle && static_cast<double>(held + wanted) > limit;
+  if (defer != aEntry.deferred_) {
+    aEntry.deferred_ = defer;
+    LogEvent(defer ? "standing-held-back" : "standing-admitted",
+             spec.id_,
+             {},
+             "it requests " + std::to_string(wanted) +
+               ", other long-running jobs hold " + std::to_string(held) +
+               " of " + std::to_string(static_cast<std::int64_t>(limit)) +
+               " permitted thousandths of a processor");
   }
-  return holds;
+  return defer;
 }
 
 std::optional<Instant>
-FleetScheduler::AwaySince(const JobEntry& aEntry, const FleetTask& aTask) const
+FleetScheduler::DowntimeStart(const JobEntry& aEntry,
+                              const FleetTask& aTask) const
 {
   if (aTask.endedAt_.has_value()) {
     return aTask.endedAt_;
   }
   // Runs under a previous leader are not recorded; most of these tasks ran.
-  return aEntry.old_ ? std::optional(loadedAt_) : std::nullopt;
+  return aEntry.fromEarlierLeader_ ? std::optional(loadedAt_) : std::nullopt;
 }
 
 bool
-FleetScheduler::HasReturning(const JobEntry& aEntry,
-                             const FleetStep& aStep) const
+FleetScheduler::HasRestarting(const JobEntry& aEntry,
+                              const FleetStep& aStep) const
 {
   return aStep.spec_->longRunning_ &&
          std::any_of(aStep.tasks_.begin(),
                      aStep.tasks_.end(),
                      [&](const FleetTask& aTask) {
                        return aTask.Waits() &&
-                              AwaySince(aEntry, aTask).has_value();
+                              DowntimeStart(aEntry, aTask).has_value();
                      });
 }
 
@@ -189,23 +192,23 @@
  * the same job that never ran would take the resources in the meantime.
  */
 void
-FleetScheduler::KeepRoomOfFailed(FleetWorker& aWorker,
-                                 const TaskKey& aName,
-                                 Place& aPlace,
-                                 Instant aNow)
+FleetScheduler::ReserveForRestart(FleetWorker& aWorker,
+                                  const TaskKey& aName,
+                                  TaskLocation& aPlace,
+                                  Instant aNow)
 {
   if (aPlace.step_->spec_->gang_) {
     return;
   }
-  DropKeptRoom(aName, *aPlace.task_);
+  ReleaseReservation(aName, *aPlace.task_);
   aPlace.task_->keptOn_ = aWorker.node_;
   aWorker.Keep(aName.Text(),
                { RoomOf(*aPlace.step_->spec_, aPlace.entry_->job_->Spec()),
-                 aNow + kKeepsRoom });
+                 aNow + kRestartReservation });
 }
 
 void
-FleetScheduler::DropKeptRoom(const TaskKey& aName, FleetTask& aTask)
+FleetScheduler::ReleaseReservation(const TaskKey& aName, FleetTask& aTask)
 {
   const auto keeper = workers_.find(std::exchange(aTask.keptOn_, {}));
   if (keeper != workers_.end()) {
@@ -214,17 +217,17 @@
 }
 
 bool
-FleetScheduler::MayNoteWait(FleetTask& aTask, Instant aNow)
+FleetScheduler::MayLogWait(FleetTask& aTask, Instant aNow)
 {
-  if (aNow >= waitNotesUntil_) {
-    waitNotesUntil_ = aNow + kWaitNotePeriod;
-    waitNotes_ = 0;
+  if (aNow >= waitLogPeriodEnd_) {
+    waitLogPeriodEnd_ = aNow + kWaitLogPeriod;
+    loggedWaits_ = 0;
   }
-  if (aNow < aTask.nextWaitNote_ || waitNotes_ >= kMostWaitNotes) {
+  if (aNow < aTask.nextWaitNote_ || loggedWaits_ >= kMaxLoggedWaits) {
     return false;
   }
-  ++waitNotes_;
-  aTask.nextWaitNote_ = aNow + kWaitNotePeriod;
+  ++loggedWaits_;
+  aTask.nextWaitNote_ = aNow + kWaitLogPeriod;
   return true;
 }
 
@@ -239,54 +242,54 @@
   facts.service_ = aEntry.job_->Spec().service_;
   facts.now_ = aNow;
   std::size_t eligible = 0;
-  std::size_t setAside = 0;
-  std::size_t spares = 0;
+  std::size_t cordoned = 0;
+  std::size_t reservable = 0;
   std::int64_t mostFree = 0;
   for (const WorkerOption& option : options_) {
     if (!MayRunOn(option, facts)) {
       continue;
     }
     ++eligible;
-    setAside += option.setAside_ ? 1 : 0;
-    spares += LeavesRoomFor(*option.worker_, wanted) ? 1 : 0;
+    cordoned += option.setAside_ ? 1 : 0;
+    reservable += LeavesCapacityFor(*option.worker_, wanted) ? 1 : 0;
     const FleetRoom free = option.worker_->Free();
     if (free.memoryMb_ >= wanted.memoryMb_) {
       mostFree = std::max(mostFree, free.cpuMilli_);
     }
   }
-  const ServiceRoom room = RoomOfService(facts.service_);
+  const ServiceCapacity room = CapacityOfService(facts.service_);
   std::ostringstream text;
   text << "it needs " << wanted.cpuMilli_ << " thousandths of a processor; of "
        << options_.size() << " workers " << eligible << " may run it, "
-       << setAside << " of them cordoned, " << spares
+       << cordoned << " of them cordoned, " << reservable
        << " can be reserved for it; at most " << mostFree
        << " are free on a worker with enough memory, "
        << room.cpuMilli_ - room.usedCpuMilli_
        << " in total; long-running tasks hold or request "
-       << StandingCpuMilli(facts.service_) << " of " << room.cpuMilli_;
+       << LongRunningCpuMilli(facts.service_) << " of " << room.cpuMilli_;
   return text.str();
 }
 
 void
-FleetScheduler::NoteLastingWaits(const JobEntry& aEntry,
-                                 FleetStep& aStep,
-                                 std::uint32_t aIndex,
-                                 Instant aNow)
+FleetScheduler::LogLongRunningWait(const JobEntry& aEntry,
+                                   FleetStep& aStep,
+                                   std::uint32_t aIndex,
+                                   Instant aNow)
 {
   FleetTask& task = aStep.tasks_[aIndex];
-  const std::optional<Instant> since = AwaySince(aEntry, task);
+  const std::optional<Instant> since = DowntimeStart(aEntry, task);
   if (!aStep.spec_->longRunning_ || !since.has_value() ||
-      aNow < *since + kWaitNotePeriod || !MayNoteWait(task, aNow)) {
+      aNow < *since + kWaitLogPeriod || !MayLogWait(task, aNow)) {
     return;
   }
   const std::string& job = aEntry.job_->Spec().id_;
   const TaskKey name{ job, aStep.occurrence_, aStep.index_, aIndex };
-  const auto away = std::chrono::duration_cast<Millis>(aNow - *since);
-  Note("lasting-waits",
-       name.Text(),
-       std::string(reservations_.NodeOf(job, aNow)),
-       "for " + std::to_string(away.count()) + " ms, " +
-         DescribeWait(aEntry, aStep, aNow));
+  const auto downtime = std::chrono::duration_cast<Millis>(aNow - *since);
+  LogEvent("lasting-waits",
+           name.Text(),
+           std::string(reservations_.NodeOf(job, aNow)),
+           "for " + std::to_string(downtime.count()) + " ms, " +
+             DescribeWait(aEntry, aStep, aNow));
 }
 
 /**
@@ -300,21 +303,21 @@
  * urgent work.
  */
 void
-FleetScheduler::KeepRoomFor(const JobEntry& aEntry,
-                            const FleetStep& aStep,
-                            const FleetTask& aTask,
-                            Instant aNow)
+FleetScheduler::ReserveWorkerFor(const JobEntry& aEntry,
+                                 const FleetStep& aStep,
+                                 const FleetTask& aTask,
+                                 Instant aNow)
 {
-  const std::optional<Instant> since = AwaySince(aEntry, aTask);
+  const std::optional<Instant> since = DowntimeStart(aEntry, aTask);
   if (!aStep.spec_->longRunning_ || !since.has_value() ||
-      aNow - *since < kPatience) {
+      aNow - *since < kReservationDelay) {
     return;
   }
   const std::string& job = aEntry.job_->Spec().id_;
   const std::string_view kept = reservations_.NodeOf(job, aNow);
-  const std::size_t most =
+  const std::size_t limit =
     std::max<std::size_t>(1, workers_.size() / kWorkersPerReservation);
-  if (kept.empty() && reservations_.Count(aNow) >= most) {
+  if (kept.empty() && reservations_.Count(aNow) >= limit) {
     return;
   }
   const FleetRoom wanted = FixedRoomOf(*aStep.spec_);
@@ -326,7 +329,7 @@
   for (const WorkerOption& option : options_) {
     const FleetWorker& worker = *option.worker_;
     if (!MayRunOn(option, facts) || option.setAside_ ||
-        !LeavesRoomFor(worker, wanted)) {
+        !LeavesCapacityFor(worker, wanted)) {
       continue;
     }
     if (worker.node_ == kept) {
@@ -341,11 +344,11 @@
     return;
   }
   if (best->node_ != kept) {
-    Note("worker-kept",
-         job,
-         best->node_,
-         std::to_string(best->Free().cpuMilli_) + " are free, " +
-           std::to_string(wanted.cpuMilli_) + " are needed");
+    LogEvent("worker-kept",
+             job,
+             best->node_,
+             std::to_string(best->Free().cpuMilli_) + " are free, " +
+               std::to_string(wanted.cpuMilli_) + " are needed");
   }
   reservations_.Keep(best->node_, job, aNow);
 }
--- a/Source/Process/FleetSchedulerPlacement.cxx
+++ b/Source/Process/FleetSchedulerPlacement.cxx
@@ -14,13 +14,13 @@
  * count a job as lost after three seconds. A job waits only once, see
  * PlaceStarving.
  */
-constexpr Millis kStarved{ 1500 };
+constexpr Millis kStarvationTimeout{ 1500 };
 /**
  * Longest time ahead for which the load of serving tasks is predicted when
  * backfill is placed. The time ahead is the duration of the backfill task, but
  * the load cannot be predicted for longer.
  */
-constexpr Millis kFarthestAhead{ 300 };
+constexpr Millis kMaxPredictionAhead{ 300 };
 
 }
 
@@ -31,7 +31,7 @@
 }
 
 Instant
-FleetScheduler::StartsUntil() const
+FleetScheduler::StartExpiry() const
 {
   return tableAsOf_ + (bounds_.cancelBound_ - kStartMargin);
 }
@@ -46,16 +46,17 @@
 bool
 FleetScheduler::MayStart(Instant aNow)
 {
-  const bool may = loaded_ && aNow + kLeastStartTime < StartsUntil();
-  if (loaded_ && may == withheld_) {
-    withheld_ = !may;
+  const bool canStart = loaded_ && aNow + kMinStartValidity < StartExpiry();
+  if (loaded_ && canStart == startsWithheld_) {
+    startsWithheld_ = !canStart;
     const auto age = std::chrono::duration_cast<Millis>(aNow - tableAsOf_);
-    Note(may ? "starts-go-on" : "starts-withheld",
-         {},
-         {},
-         "the view of the table is " + std::to_string(age.count()) + " ms old");
+    LogEvent(canStart ? "starts-go-on" : "starts-withheld",
+             {},
+             {},
+             "the view of the table is " + std::to_string(age.count()) +
+               " ms old");
   }
-  return may;
+  return canStart;
 }
 
 std::vector<SideOrders>
@@ -63,7 +64,7 @@
 {
   wallMs_ = aWallMs;
   BeginDueJobs(aNow, aWallMs);
-  GiveUpUnreachable(aNow);
+  AbandonUnreachable(aNow);
   if (MayStart(aNow)) {
     PlaceReady(aNow);
   }
@@ -73,9 +74,9 @@
       orders_.erase(node);
       continue;
     }
-    const bool grantDue = aNow - worker.grantedAt_ >= kReportPeriod;
+    const bool renewalDue = aNow - worker.grantedAt_ >= kReportPeriod;
     const auto found = orders_.find(node);
-    if (found == orders_.end() && !grantDue && !worker.acknowledgementDue_) {
+    if (found == orders_.end() && !renewalDue && !worker.acknowledgementDue_) {
       continue;
     }
     SideOrders orders;
@@ -90,15 +91,16 @@
     if (!orders.orders_.starts_.empty()) {
       // The side read its clock for the echo before the leader received the
       // report. The starts expire earlier by this delay at most.
-      const Micros left = StartsUntil() - worker.reportedAt_;
+      const Micros remaining = StartExpiry() - worker.reportedAt_;
       orders.orders_.startsUntilMicros_ =
-        worker.echoMicros_ + static_cast<std::uint64_t>(left.count());
+        worker.echoMicros_ + static_cast<std::uint64_t>(remaining.count());
     }
     orders.orders_.holdMicros_ = static_cast<std::uint64_t>(
       std::chrono::duration_cast<Micros>(kAuthority).count());
     orders.orders_.watchMicros_ =
-      worker.watched_ ? static_cast<std::uint64_t>(Micros(kWatchHolds).count())
-                      : 0;
+      worker.watched_
+        ? static_cast<std::uint64_t>(Micros(kWatchValidity).count())
+        : 0;
     orders.orders_.workerId_ = worker.facts_.id_;
     orders.orders_.endsStored_ = worker.endsStored_;
     worker.acknowledgementDue_ = false;
@@ -111,21 +113,21 @@
 void
 FleetScheduler::PlaceReady(Instant aNow)
 {
-  const bool holdOld = HoldsOldWork(aNow);
+  const bool deferOldWork = DefersOldWork(aNow);
   misses_.Clear();
   for (auto& [node, worker] : workers_) {
     worker.DropKeptUntil(aNow);
   }
   std::vector<ReadyKey> placed;
   // Work of a lower priority must not take capacity that preemption frees.
-  std::optional<std::int64_t> blocked;
+  std::optional<std::int64_t> blockedPriority;
   for (const ReadyKey& key : PlacementOrder()) {
     const auto found = jobs_.find(key.job_);
     if (found == jobs_.end() || found->second.job_->IsOver()) {
       placed.push_back(key);
       continue;
     }
-    if (found->second.old_ && holdOld) {
+    if (found->second.fromEarlierLeader_ && deferOldWork) {
       continue;
     }
     const FleetStep* step =
@@ -134,17 +136,18 @@
       placed.push_back(key);
       continue;
     }
-    if (IsHeldBack(found->second, *step, aNow)) {
+    if (IsDeferred(found->second, *step, aNow)) {
       continue;
     }
     const bool backfill = step->spec_->backfill_;
-    if (blocked.has_value() && key.priority_ > *blocked && !backfill) {
+    if (blockedPriority.has_value() && key.priority_ > *blockedPriority &&
+        !backfill) {
       continue;
     }
     if (PlaceStep(key, aNow)) {
       placed.push_back(key);
-    } else if (!blocked.has_value() && !backfill) {
-      blocked = key.priority_;
+    } else if (!blockedPriority.has_value() && !backfill) {
+      blockedPriority = key.priority_;
     }
   }
   for (const ReadyKey& key : placed) {
@@ -157,12 +160,12 @@
 {
   const JobDescription& spec = aJob.Spec();
   if (aStep.spec_->longRunning_) {
-    const bool returning = HasReturning(jobs_.at(spec.id_), aStep);
-    return { returning ? JobOutlook::Returning : JobOutlook::Standing,
+    const bool restarting = HasRestarting(jobs_.at(spec.id_), aStep);
+    return { restarting ? JobOutlook::Returning : JobOutlook::Standing,
              spec.acceptedAtMs_ };
   }
   std::vector<double> all;
-  std::vector<double> left;
+  std::vector<double> remaining;
   const auto occurrence = aJob.Occurrences().find(aStep.occurrence_);
   for (std::size_t i = 0; i < spec.steps_.size(); ++i) {
     const bool begun = occurrence != aJob.Occurrences().end();
@@ -170,7 +173,7 @@
     all.push_back(step != nullptr ? ExpectedMillis(aJob, *step)
                                   : durations_.ExpectedMillis(
                                       spec.queue_, spec.steps_[i].estimateMs_));
-    left.push_back(step != nullptr && step->AllDone() ? 0 : all.back());
+    remaining.push_back(step != nullptr && step->AllDone() ? 0 : all.back());
   }
   JobTimes times;
   times.dueMs_ =
@@ -179,7 +182,7 @@
           static_cast<std::int64_t>(aStep.occurrence_) * spec.intervalMs_
       : spec.acceptedAtMs_;
   times.chainMs_ = ChainMillis(spec.steps_, all);
-  times.leftMs_ = ChainMillis(spec.steps_, left);
+  times.leftMs_ = ChainMillis(spec.steps_, remaining);
   return RankOf(spec, times, wallMs_);
 }
 
@@ -232,14 +235,14 @@
   bool allPlaced = true;
   // Tasks that never ran would take the capacity of restarting tasks, also of
   // other jobs.
-  const bool returning = HasReturning(entry, step);
+  const bool restarting = HasRestarting(entry, step);
   for (std::uint32_t i = 0; i < step.tasks_.size(); ++i) {
     const FleetTask& task = step.tasks_[i];
     if (!task.Waits()) {
       continue;
     }
-    const bool yields = returning && !AwaySince(entry, task).has_value();
-    if (yields || task.notBefore_ > aNow) {
+    const bool mustWait = restarting && !DowntimeStart(entry, task).has_value();
+    if (mustWait || task.notBefore_ > aNow) {
       allPlaced = false;
     } else if (!PlaceOrMiss(entry, step, i, aNow)) {
       return false;
@@ -261,22 +264,22 @@
   if (PlaceStarving(aEntry, aStep, aIndex, aNow)) {
     return true;
   }
-  NoteMiss(*aEntry.job_, aStep, aNow);
-  MakeRoom(*aEntry.job_, aStep, aNow);
-  NoteLastingWaits(aEntry, aStep, aIndex, aNow);
-  KeepRoomFor(aEntry, aStep, aStep.tasks_[aIndex], aNow);
+  RecordMiss(*aEntry.job_, aStep, aNow);
+  PreemptFor(*aEntry.job_, aStep, aNow);
+  LogLongRunningWait(aEntry, aStep, aIndex, aNow);
+  ReserveWorkerFor(aEntry, aStep, aStep.tasks_[aIndex], aNow);
   return false;
 }
 
 void
-FleetScheduler::NoteMiss(const FleetJob& aJob,
-                         const FleetStep& aStep,
-                         Instant aNow)
+FleetScheduler::RecordMiss(const FleetJob& aJob,
+                           const FleetStep& aStep,
+                           Instant aNow)
 {
   const JobDescription& spec = aJob.Spec();
   misses_.Add(spec, *aStep.spec_);
   if (!aStep.spec_->longRunning_ && !aStep.spec_->backfill_) {
-    standing_.OnMissed(spec.service_, spec.priority_, aNow);
+    longRunningAdmission_.OnMissed(spec.service_, spec.priority_, aNow);
   }
 }
 
@@ -312,7 +315,7 @@
     }
   }
   options_.clear();
-  ++fleetLooks_;
+  ++workerScans_;
   for (auto& [node, worker] : workers_) {
     const auto same = sameStep.find(node);
     WorkerOption option;
@@ -327,9 +330,9 @@
 }
 
 void
-FleetScheduler::NotePlaced(std::size_t aOption,
-                           const FleetJob& aJob,
-                           const FleetStep& aStep)
+FleetScheduler::UpdateOption(std::size_t aOption,
+                             const FleetJob& aJob,
+                             const FleetStep& aStep)
 {
   WorkerOption& option = options_[aOption];
   ++option.sameStep_;
@@ -352,7 +355,7 @@
     }
     const Millis expected(static_cast<std::int64_t>(
       durations_.ExpectedMillis(aJob.Spec().queue_, aStep.estimateMs_)));
-    const Millis ahead = std::min(kFarthestAhead, expected);
+    const Millis ahead = std::min(kMaxPredictionAhead, expected);
     known = aWorker.fits_
               .emplace(aStep.image_,
                        interference_.FitOfOneMore(
@@ -408,7 +411,7 @@
 {
   FleetTask& task = aStep.tasks_[aIndex];
   if (!task.keptOn_.empty()) {
-    return PlaceReturned(aEntry, aStep, aIndex, aNow);
+    return PlaceWithReservation(aEntry, aStep, aIndex, aNow);
   }
   const auto chosen = ChooseAmongOptions(*aEntry.job_, aStep, task, aNow);
   if (!chosen.has_value()) {
@@ -422,10 +425,10 @@
  * Places a task that has a reservation, on the reserved worker or elsewhere.
  */
 bool
-FleetScheduler::PlaceReturned(JobEntry& aEntry,
-                              FleetStep& aStep,
-                              std::uint32_t aIndex,
-                              Instant aNow)
+FleetScheduler::PlaceWithReservation(JobEntry& aEntry,
+                                     FleetStep& aStep,
+                                     std::uint32_t aIndex,
+                                     Instant aNow)
 {
   FleetTask& task = aStep.tasks_[aIndex];
   const std::string node = std::exchange(task.keptOn_, {});
@@ -455,7 +458,7 @@
   FleetTask& task = aStep.tasks_[aIndex];
   FleetWorker& worker = workers_.at(options_[aOption].worker_->node_);
   StartRun(aEntry, aStep, aIndex, worker, aEntry.job_->NextRun(task), aNow);
-  NotePlaced(aOption, *aEntry.job_, aStep);
+  UpdateOption(aOption, *aEntry.job_, aStep);
   if (aStep.spec_->backfill_) {
     // Only backfill: PaceBackfill would never raise the pace of other tasks.
     StartAtPace(worker, aEntry, aStep, aIndex, fit.speed_);
@@ -470,9 +473,10 @@
  * worker: on the worker where it disturbs least, at a pace that makes it
  * harmless.
  *
- * Such a job must still make progress. It waits kStarved for a better worker,
- * but only once and not after each of its tasks. For the same reason a task
- * that is stopped for a move and finds its new place taken restarts at once.
+ * Such a job must still make progress. It waits kStarvationTimeout for a better
+ * worker, but only once and not after each of its tasks. For the same reason a
+ * task that is stopped for a move and finds its new place taken restarts at
+ * once.
  */
 bool
 FleetScheduler::PlaceStarving(JobEntry& aEntry,
@@ -485,7 +489,7 @@
     return false;
   }
   aEntry.idleSince_ = aEntry.idleSince_.value_or(aNow);
-  if (!aEntry.starving_ && aNow - *aEntry.idleSince_ < kStarved) {
+  if (!aEntry.starving_ && aNow - *aEntry.idleSince_ < kStarvationTimeout) {
     return false;
   }
   FleetTask& task = aStep.tasks_[aIndex];
@@ -499,10 +503,11 @@
   aEntry.idleSince_.reset();
   PlaceOn(*chosen, aEntry, aStep, aIndex, aNow);
   task.runs_.back().starving_ = true;
-  Note("backfill-starving",
-       aEntry.job_->Spec().id_,
-       task.runs_.back().node_,
-       "no task of the job ran for " + std::to_string(idle.count()) + " ms");
+  LogEvent("backfill-starving",
+           aEntry.job_->Spec().id_,
+           task.runs_.back().node_,
+           "no task of the job ran for " + std::to_string(idle.count()) +
+             " ms");
   return true;
 }
 
@@ -511,11 +516,11 @@
 {
   // All members of a gang start together under one run number, or none does: an
   // incomplete gang would occupy resources without progress.
-  const bool allWait = std::all_of(
+  const bool allWaiting = std::all_of(
     aStep.tasks_.begin(), aStep.tasks_.end(), [aNow](const FleetTask& aTask) {
       return aTask.Waits() && aTask.notBefore_ <= aNow;
     });
-  if (!allWait) {
+  if (!allWaiting) {
     return false;
   }
   std::uint32_t run = 0;
@@ -539,7 +544,7 @@
       aEntry.job_->Spec().id_, aStep.occurrence_, aStep.index_, i
     };
     worker->Hold(name.Text(), run, RoomOf(*aStep.spec_, aEntry.job_->Spec()));
-    NotePlaced(*option, *aEntry.job_, aStep);
+    UpdateOption(*option, *aEntry.job_, aStep);
     TaskRun placeholder;
     placeholder.node_ = worker->node_;
     aStep.tasks_[i].runs_.push_back(placeholder);
@@ -553,7 +558,7 @@
     aStep.tasks_[i].runs_.clear();
   }
   if (chosen.size() < aStep.tasks_.size()) {
-    MakeRoom(*aEntry.job_, aStep, aNow);
+    PreemptFor(*aEntry.job_, aStep, aNow);
     return false;
   }
   for (std::uint32_t i = 0; i < chosen.size(); ++i) {
@@ -597,16 +602,17 @@
       aStep.spec_->checkpoints_ ? task.checkpoint_ : std::string(),
       {} });
   const std::string detail = "run " + std::to_string(aRun);
-  Note("run-ordered", text, aWorker.node_, detail);
+  LogEvent("run-ordered", text, aWorker.node_, detail);
   if (aStep.spec_->longRunning_ && task.endedAt_.has_value()) {
     // A separate event, because run-ordered is so frequent that in a large
     // fleet a third of its lines are only counted.
-    const auto away = std::chrono::duration_cast<Millis>(aNow - *task.endedAt_);
-    Note("lasting-back",
-         text,
-         aWorker.node_,
-         detail + ", after a downtime of " + std::to_string(away.count()) +
-           " ms");
+    const auto downtime =
+      std::chrono::duration_cast<Millis>(aNow - *task.endedAt_);
+    LogEvent("lasting-back",
+             text,
+             aWorker.node_,
+             detail + ", after a downtime of " +
+               std::to_string(downtime.count()) + " ms");
   }
 }
 
--- a/Source/Process/FleetSchedulerPreemption.cxx
+++ b/Source/Process/FleetSchedulerPreemption.cxx
@@ -53,12 +53,12 @@
   return runs;
 }
 
-FleetScheduler::RoomPlan
-FleetScheduler::PlanRoom(FleetWorker& aWorker,
-                         const FleetRoom& aWanted,
-                         std::int64_t aPriority)
+FleetScheduler::PreemptionPlan
+FleetScheduler::PlanPreemption(FleetWorker& aWorker,
+                               const FleetRoom& aWanted,
+                               std::int64_t aPriority)
 {
-  RoomPlan plan;
+  PreemptionPlan plan;
   FleetRoom room = aWorker.Free();
   const auto runs = Preemptible(aWorker, aPriority);
   const auto roomOf = [&aWorker](const PreemptibleRun& aRun) {
@@ -69,7 +69,7 @@
       room = Sum(room, roomOf(run));
     }
   }
-  plan.underWay_ = Covers(room, aWanted);
+  plan.inFlight_ = Covers(room, aWanted);
   for (const PreemptibleRun& run : runs) {
     if (Covers(room, aWanted)) {
       break;
@@ -79,14 +79,14 @@
       plan.stops_.push_back(run);
     }
   }
-  plan.enough_ = Covers(room, aWanted);
+  plan.sufficient_ = Covers(room, aWanted);
   return plan;
 }
 
 void
-FleetScheduler::MakeRoom(const FleetJob& aJob,
-                         const FleetStep& aStep,
-                         Instant aNow)
+FleetScheduler::PreemptFor(const FleetJob& aJob,
+                           const FleetStep& aStep,
+                           Instant aNow)
 {
   if (aStep.spec_->backfill_) {
     return;
@@ -98,27 +98,28 @@
   facts.now_ = aNow;
   FillOptions(aJob, aStep, aNow);
   const FleetWorker* best = nullptr;
-  RoomPlan bestPlan;
+  PreemptionPlan bestPreemption;
   for (const WorkerOption& option : options_) {
     if (!MayRunOn(option, facts) || option.setAside_ ||
         !Covers(option.worker_->FreeWithout(aJob.Spec().priority_), wanted)) {
       continue;
     }
     FleetWorker& worker = workers_.at(option.worker_->node_);
-    RoomPlan plan = PlanRoom(worker, wanted, aJob.Spec().priority_);
-    if (plan.underWay_) {
+    PreemptionPlan plan = PlanPreemption(worker, wanted, aJob.Spec().priority_);
+    if (plan.inFlight_) {
       return;
     }
-    if (plan.enough_ &&
-        (best == nullptr || plan.stops_.size() < bestPlan.stops_.size())) {
+    if (plan.sufficient_ &&
+        (best == nullptr ||
+         plan.stops_.size() < bestPreemption.stops_.size())) {
       best = &worker;
-      bestPlan = std::move(plan);
+      bestPreemption = std::move(plan);
     }
   }
   if (best == nullptr) {
     return;
   }
-  for (const PreemptibleRun& stop : bestPlan.stops_) {
+  for (const PreemptibleRun& stop : bestPreemption.stops_) {
     OrderStop(best->node_, stop.task_, *stop.run_, "preempted");
   }
 }
--- a/Source/Process/FleetSchedulerReports.cxx
+++ b/Source/Process/FleetSchedulerReports.cxx
@@ -14,16 +14,16 @@
  * of capacity, or for no specific reason, although free capacity was accounted
  * for it. Such a worker runs something that the scheduler does not know.
  */
-constexpr Millis kFullPause{ 300 };
+constexpr Millis kNoCapacityPause{ 300 };
 
 /**
  * Restart backoff of a long-running task, which grows by this amount with each
  * failure. Users accept a downtime of six seconds.
  */
-constexpr Millis kBackoff{ 100 };
-constexpr Millis kLongestBackoff{ 1000 };
+constexpr Millis kRestartBackoff{ 100 };
+constexpr Millis kMaxRestartBackoff{ 1000 };
 /** Number of workers on which a long-running task failed that it avoids. */
-constexpr std::size_t kMostAvoided = 4;
+constexpr std::size_t kMaxAvoidedWorkers = 4;
 
 /** Returns the reason for the log why an ordered run did not start. */
 std::string_view
@@ -115,15 +115,15 @@
   }
   FleetWorker& worker = found->second;
   const bool first = !worker.synced_;
-  const std::size_t underWay = first ? OrdersUnderWay(worker) : 0;
+  const std::size_t startsInFlight = first ? StartsInFlight(worker) : 0;
   worker.echoMicros_ = aReport.clockMicros_;
   worker.reportedAt_ = aNow;
   if (aReport.worker_.id_ != worker.facts_.id_) {
-    OnNewLife(worker, aReport, aNow);
+    OnNewIncarnation(worker, aReport, aNow);
   }
   if (aReport.worker_.draining_ && !worker.facts_.draining_) {
     worker.drainingSince_ = aNow;
-    Note("worker-draining", {}, aNode, aReport.worker_.id_);
+    LogEvent("worker-draining", {}, aNode, aReport.worker_.id_);
   }
   worker.facts_ = aReport.worker_;
   worker.measuredAt_ =
@@ -132,22 +132,22 @@
   worker.suspect_ = false;
   worker.left_ = aReport.worker_.id_.empty() && aReport.runs_.empty();
   for (const EndFact& end : aReport.ends_) {
-    TakeEnd(worker, end, aNow);
+    HandleEnd(worker, end, aNow);
   }
   for (const RefusedRun& refused : aReport.refused_) {
-    TakeRefusal(worker, refused, aNow);
+    HandleRefusal(worker, refused, aNow);
   }
   Reconcile(worker, aReport, aNow);
-  CareForRuns(worker, aNow);
+  MaintainRuns(worker, aNow);
   if (first) {
-    const auto unlinked =
+    const auto unlinkedTime =
       std::chrono::duration_cast<Millis>(aNow - worker.lostAt_);
-    Note("side-synced",
-         {},
-         aNode,
-         aReport.worker_.id_ + ", " + std::to_string(worker.held_.size()) +
-           " runs, no orders for " + std::to_string(unlinked.count()) +
-           " ms, " + std::to_string(underWay) + " starts in flight");
+    LogEvent("side-synced",
+             {},
+             aNode,
+             aReport.worker_.id_ + ", " + std::to_string(worker.held_.size()) +
+               " runs, no orders for " + std::to_string(unlinkedTime.count()) +
+               " ms, " + std::to_string(startsInFlight) + " starts in flight");
   }
 }
 
@@ -155,7 +155,7 @@
  * Number of starts that were ordered on the last link but not reported on it.
  */
 std::size_t
-FleetScheduler::OrdersUnderWay(const FleetWorker& aWorker)
+FleetScheduler::StartsInFlight(const FleetWorker& aWorker)
 {
   return static_cast<std::size_t>(std::count_if(
     aWorker.held_.begin(), aWorker.held_.end(), [&](const auto& aEntry) {
@@ -170,17 +170,17 @@
 }
 
 void
-FleetScheduler::OnNewLife(FleetWorker& aWorker,
-                          const FleetReport& aReport,
-                          Instant aNow)
+FleetScheduler::OnNewIncarnation(FleetWorker& aWorker,
+                                 const FleetReport& aReport,
+                                 Instant aNow)
 {
   // A worker that crashed has no runs in its new incarnation, and numbers its
   // ends from one again.
   if (!aWorker.facts_.id_.empty()) {
-    Note("worker-new-life",
-         {},
-         aWorker.node_,
-         aWorker.facts_.id_ + " was replaced by " + aReport.worker_.id_);
+    LogEvent("worker-new-life",
+             {},
+             aWorker.node_,
+             aWorker.facts_.id_ + " was replaced by " + aReport.worker_.id_);
     DropAllRuns(aWorker, "its worker crashed", aNow);
   }
   aWorker.DropKept();
@@ -198,7 +198,9 @@
 }
 
 void
-FleetScheduler::TakeEnd(FleetWorker& aWorker, const EndFact& aEnd, Instant aNow)
+FleetScheduler::HandleEnd(FleetWorker& aWorker,
+                          const EndFact& aEnd,
+                          Instant aNow)
 {
   if (aEnd.number_ <= aWorker.endsSeen_) {
     return;
@@ -207,15 +209,16 @@
   aWorker.Release(aEnd.task_, aEnd.run_);
   aWorker.strangers_.erase({ aEnd.task_, aEnd.run_ });
   const auto name = TaskKey::Parse(aEnd.task_);
-  std::optional<Place> place = name.has_value() ? Find(*name) : std::nullopt;
-  bool mustStore = false;
+  std::optional<TaskLocation> place =
+    name.has_value() ? Find(*name) : std::nullopt;
+  bool storeRequired = false;
   if (place.has_value()) {
-    mustStore = ApplyEnd(aWorker, aEnd, *name, *place, aNow);
-    if (mustStore) {
+    storeRequired = ApplyEnd(aWorker, aEnd, *name, *place, aNow);
+    if (storeRequired) {
       MarkChanged(*place->entry_);
     }
   }
-  aWorker.unstored_.push_back({ aEnd.number_, mustStore ? nextBatch_ : 0 });
+  aWorker.unstored_.push_back({ aEnd.number_, storeRequired ? nextBatch_ : 0 });
   while (!aWorker.unstored_.empty() && aWorker.unstored_.front().batch_ == 0) {
     aWorker.endsStored_ = aWorker.unstored_.front().number_;
     aWorker.acknowledgementDue_ = true;
@@ -227,7 +230,7 @@
 FleetScheduler::ApplyEnd(FleetWorker& aWorker,
                          const EndFact& aEnd,
                          const TaskKey& aName,
-                         Place& aPlace,
+                         TaskLocation& aPlace,
                          Instant aNow)
 {
   FleetTask& task = *aPlace.task_;
@@ -237,14 +240,14 @@
     RemoveRun(aPlace, aWorker.node_, aEnd.run_, aNow);
     // Until the table holds the reason why this end changes nothing, the next
     // leader would start the task again.
-    const bool waits = !IsFinal(aPlace.entry_->storedState_);
-    if (waits && aEnd.kind_ == EndKind::Done) {
-      Note("end-waits",
-           aEnd.task_,
-           aWorker.node_,
-           "acknowledged once its job's state is stored");
+    const bool awaitsStore = !IsFinal(aPlace.entry_->storedState_);
+    if (awaitsStore && aEnd.kind_ == EndKind::Done) {
+      LogEvent("end-waits",
+               aEnd.task_,
+               aWorker.node_,
+               "acknowledged once its job's state is stored");
     }
-    return waits;
+    return awaitsStore;
   }
   if (aEnd.kind_ == EndKind::Done && !spec.longRunning_) {
     OnRunDone(aWorker, aEnd, aPlace, aName, aNow);
@@ -254,24 +257,24 @@
     OnRunFailed(aWorker, aEnd, aPlace, aName, aNow);
     return true;
   }
-  Note("run-ended",
-       aEnd.task_,
-       aWorker.node_,
-       "run " + std::to_string(aEnd.run_) + " ended with kind " +
-         std::to_string(static_cast<int>(aEnd.kind_)));
-  const bool saved = spec.checkpoints_ && !aEnd.checkpoint_.empty();
-  if (saved) {
+  LogEvent("run-ended",
+           aEnd.task_,
+           aWorker.node_,
+           "run " + std::to_string(aEnd.run_) + " ended with kind " +
+             std::to_string(static_cast<int>(aEnd.kind_)));
+  const bool newCheckpoint = spec.checkpoints_ && !aEnd.checkpoint_.empty();
+  if (newCheckpoint) {
     task.checkpoint_ = aEnd.checkpoint_;
   }
   RemoveRun(aPlace, aWorker.node_, aEnd.run_, aNow);
   BreakGang(aPlace, aName);
-  return saved;
+  return newCheckpoint;
 }
 
 void
 FleetScheduler::OnRunDone(FleetWorker& aWorker,
                           const EndFact& aEnd,
-                          Place& aPlace,
+                          TaskLocation& aPlace,
                           const TaskKey& aName,
                           Instant aNow)
 {
@@ -289,11 +292,13 @@
   if (aPlace.step_->spec_->gang_) {
     OnGangDone(aPlace, aEnd.run_, aNow);
   }
-  SettleJob(*aPlace.entry_);
+  ResolveJob(*aPlace.entry_);
 }
 
 void
-FleetScheduler::OnGangDone(Place& aPlace, std::uint32_t aRun, Instant aNow)
+FleetScheduler::OnGangDone(TaskLocation& aPlace,
+                           std::uint32_t aRun,
+                           Instant aNow)
 {
   // All members of a gang complete together, so the completion of one member
   // implies the others. A member whose end is lost with its worker must not
@@ -308,7 +313,7 @@
 void
 FleetScheduler::OnRunFailed(FleetWorker& aWorker,
                             const EndFact& aEnd,
-                            Place& aPlace,
+                            TaskLocation& aPlace,
                             const TaskKey& aName,
                             Instant aNow)
 {
@@ -318,21 +323,21 @@
   health_.OnFailure(aWorker.node_, aName.job_, aNow);
   RemoveRun(aPlace, aWorker.node_, aEnd.run_, aNow);
   task.avoid_.push_back(aWorker.node_);
-  Note("run-failed",
-       aEnd.task_,
-       aWorker.node_,
-       "run " + std::to_string(aEnd.run_));
+  LogEvent("run-failed",
+           aEnd.task_,
+           aWorker.node_,
+           "run " + std::to_string(aEnd.run_));
   if (spec.longRunning_) {
     // Failures of long-running tasks are not limited, so they do not count as
     // attempts. The backoff prevents a continuous loop of starts and failures.
     ++task.quickFailures_;
-    task.notBefore_ =
-      aNow + std::min(kLongestBackoff, kBackoff * task.quickFailures_);
-    if (task.avoid_.size() > kMostAvoided) {
+    task.notBefore_ = aNow + std::min(kMaxRestartBackoff,
+                                      kRestartBackoff * task.quickFailures_);
+    if (task.avoid_.size() > kMaxAvoidedWorkers) {
       task.avoid_.erase(task.avoid_.begin());
     }
     if (task.Waits()) {
-      KeepRoomOfFailed(aWorker, aName, aPlace, aNow);
+      ReserveForRestart(aWorker, aName, aPlace, aNow);
     }
     return;
   }
@@ -355,7 +360,7 @@
 }
 
 void
-FleetScheduler::BreakGang(Place& aPlace, const TaskKey& aName)
+FleetScheduler::BreakGang(TaskLocation& aPlace, const TaskKey& aName)
 {
   if (!aPlace.step_->spec_->gang_) {
     return;
@@ -372,7 +377,7 @@
 }
 
 void
-FleetScheduler::RemoveRun(Place& aPlace,
+FleetScheduler::RemoveRun(TaskLocation& aPlace,
                           const std::string& aNode,
                           std::uint32_t aRun,
                           Instant aNow)
@@ -388,13 +393,13 @@
 }
 
 void
-FleetScheduler::TakeRefusal(FleetWorker& aWorker,
-                            const RefusedRun& aRefused,
-                            Instant aNow)
+FleetScheduler::HandleRefusal(FleetWorker& aWorker,
+                              const RefusedRun& aRefused,
+                              Instant aNow)
 {
   if (aRefused.why_ == StartRefusal::NoRoom ||
       aRefused.why_ == StartRefusal::Other) {
-    aWorker.fullUntil_ = aNow + kFullPause;
+    aWorker.fullUntil_ = aNow + kNoCapacityPause;
   }
   DropRun(aWorker, aRefused.task_, aRefused.run_, TextOf(aRefused.why_), aNow);
 }
@@ -408,14 +413,15 @@
 {
   aWorker.Release(aTask, aRun);
   const auto name = TaskKey::Parse(aTask);
-  std::optional<Place> place = name.has_value() ? Find(*name) : std::nullopt;
+  std::optional<TaskLocation> place =
+    name.has_value() ? Find(*name) : std::nullopt;
   if (!place.has_value()) {
     return;
   }
-  Note("run-dropped",
-       aTask,
-       aWorker.node_,
-       "run " + std::to_string(aRun) + ": " + std::string(aWhy));
+  LogEvent("run-dropped",
+           aTask,
+           aWorker.node_,
+           "run " + std::to_string(aRun) + ": " + std::string(aWhy));
   RemoveRun(*place, aWorker.node_, aRun, aNow);
   if (!place->entry_->job_->IsOver()) {
     BreakGang(*place, *name);
@@ -445,7 +451,7 @@
   std::set<std::pair<std::string, std::uint32_t>> reported;
   for (const RunFact& fact : aReport.runs_) {
     reported.emplace(fact.task_, fact.run_);
-    TakeRun(aWorker, fact, aNow);
+    HandleRun(aWorker, fact, aNow);
   }
   std::erase_if(aWorker.strangers_, [&reported](const auto& aKey) {
     return !reported.contains(aKey);
@@ -472,15 +478,16 @@
 }
 
 void
-FleetScheduler::TakeRun(FleetWorker& aWorker,
-                        const RunFact& aFact,
-                        Instant aNow)
+FleetScheduler::HandleRun(FleetWorker& aWorker,
+                          const RunFact& aFact,
+                          Instant aNow)
 {
   const auto name = TaskKey::Parse(aFact.task_);
-  std::optional<Place> place = name.has_value() ? Find(*name) : std::nullopt;
+  std::optional<TaskLocation> place =
+    name.has_value() ? Find(*name) : std::nullopt;
   if (!place.has_value()) {
     if (aWorker.strangers_.emplace(aFact.task_, aFact.run_).second) {
-      Note("stranger-stopped", aFact.task_, aWorker.node_);
+      LogEvent("stranger-stopped", aFact.task_, aWorker.node_);
       OrdersFor(aWorker).stops_.push_back({ aFact.task_, aFact.run_ });
     }
     return;
@@ -500,10 +507,10 @@
                  aFact.run_,
                  RoomOf(*place->step_->spec_, place->entry_->job_->Spec()));
     place->entry_->job_->SetStarted();
-    Note("run-adopted",
-         aFact.task_,
-         aWorker.node_,
-         "run " + std::to_string(aFact.run_));
+    LogEvent("run-adopted",
+             aFact.task_,
+             aWorker.node_,
+             "run " + std::to_string(aFact.run_));
     const bool allowed = !elsewhere || place->step_->spec_->allowsCopies_;
     if (place->entry_->job_->IsOver() || task.done_ || !allowed) {
       OrderStop(aWorker.node_,
--- a/Source/Process/FleetSchedulerSharing.cxx
+++ b/Source/Process/FleetSchedulerSharing.cxx
@@ -16,43 +16,43 @@
  * backfill beside it is paused until it recovers. Limits harm that the learned
  * costs do not predict to less than the 4 s that users accept.
  */
-constexpr Millis kPauseAfter{ 1800 };
-constexpr double kRecovered = 0.75;
+constexpr Millis kOverloadTimeout{ 1800 };
+constexpr double kRecoveredPressure = 0.75;
 /**
  * Maximum number of workers under high-frequency reporting in a fleet of any
  * size, because each costs the leader four reports per second.
  */
-constexpr std::ptrdiff_t kMostWatched = 20;
+constexpr std::ptrdiff_t kMaxWatchedWorkers = 20;
 /**
  * Pressure above which a worker is reported at high frequency beyond that
  * limit.
  */
-constexpr double kPressed = 0.75;
+constexpr double kHighPressure = 0.75;
 /**
  * Runtime after which the CPU usage of a backfill run is a valid measurement;
  * usage is measured over half a second.
  */
-constexpr Millis kMeasured{ 900 };
+constexpr Millis kMinUsageSample{ 900 };
 /** Weight of the newest sample in the CPU share that backfill gets. */
-constexpr double kLearnShare = 0.2;
+constexpr double kShareWeight = 0.2;
 /** Rate at which that share decays where no backfill runs. */
-constexpr double kForgetShare = 0.1;
+constexpr double kShareDecay = 0.1;
 
 /** Granularity of ordered paces in percent; a finer one costs more orders. */
 constexpr std::uint32_t kPaceStep = 10;
 constexpr std::uint32_t kFullPace = 100;
 /** Lowest pace of a run that would otherwise starve. */
-constexpr std::uint32_t kLeastPace = 5;
+constexpr std::uint32_t kMinPace = 5;
 /**
- * Backfill below this pace for kSlowFor moves, with its checkpoint, if it can
- * run at least twice as fast elsewhere.
+ * Backfill below this pace for kSlowPaceTimeout moves, with its checkpoint, if
+ * it can run at least twice as fast elsewhere.
  */
 constexpr std::uint32_t kSlowPace = 40;
-constexpr Millis kSlowFor{ 1200 };
+constexpr Millis kSlowPaceTimeout{ 1200 };
 /**
  * Progress in percent that a move of a task without checkpoints may discard.
  */
-constexpr std::uint32_t kLittleWork = 20;
+constexpr std::uint32_t kMaxDiscardedPercent = 20;
 
 std::uint32_t
 PaceOf(double aSpeed)
@@ -69,7 +69,7 @@
 {
   std::string name_;
   const TaskRoom* room_ = nullptr;
-  Place place_;
+  TaskLocation place_;
   TaskRun* run_ = nullptr;
 };
 
@@ -97,7 +97,7 @@
 }
 
 void
-FleetScheduler::WatchServing(FleetWorker& aWorker, Instant aNow)
+FleetScheduler::MonitorServing(FleetWorker& aWorker, Instant aNow)
 {
   const std::vector<SharingRun> runs = SharingRuns(aWorker);
   std::vector<BackfillSample> backfill;
@@ -111,7 +111,7 @@
     if (!one.room_->serves_) {
       backfill.push_back(
         { spec.image_, aWorker.TenthsOf(spec.cpuMilli_), run.pace_ / 100.0 });
-      if (aNow - run.startedAt_ > kMeasured && run.pace_ == 100 &&
+      if (aNow - run.startedAt_ > kMinUsageSample && run.pace_ == 100 &&
           run.measure_ > 0) {
         asked += static_cast<double>(spec.cpuMilli_);
         used += static_cast<double>(run.measure_);
@@ -129,12 +129,12 @@
   }
   const double share = asked > 0 ? std::min(1.0, used / asked) : 1;
   aWorker.backfillShare_ +=
-    (asked > 0 ? kLearnShare : kForgetShare) * (share - aWorker.backfillShare_);
+    (asked > 0 ? kShareWeight : kShareDecay) * (share - aWorker.backfillShare_);
   interference_.Record(aWorker.node_, backfill, aNow);
   interference_.Measure(
     aWorker.node_, aWorker.servingSamples_, aWorker.measuredAt_);
   aWorker.fits_.clear();
-  WatchClosely(aWorker, !aWorker.servingSamples_.empty());
+  UpdateReportRate(aWorker, !aWorker.servingSamples_.empty());
   PauseBackfill(aWorker, runs, aNow);
   if (!aWorker.backfillPaused_) {
     PaceBackfill(aWorker, runs, aNow);
@@ -142,17 +142,18 @@
 }
 
 void
-FleetScheduler::WatchClosely(FleetWorker& aWorker, bool aServes)
+FleetScheduler::UpdateReportRate(FleetWorker& aWorker, bool aHasServing)
 {
   aWorker.watched_ = false;
-  if (!aServes) {
+  if (!aHasServing) {
     return;
   }
   const auto watched =
     std::count_if(workers_.begin(), workers_.end(), [](const auto& aEntry) {
       return aEntry.second.watched_;
     });
-  aWorker.watched_ = watched < kMostWatched || aWorker.pressure_ > kPressed;
+  aWorker.watched_ =
+    watched < kMaxWatchedWorkers || aWorker.pressure_ > kHighPressure;
 }
 
 void
@@ -170,26 +171,27 @@
     const Instant since =
       known == aWorker.overSince_.end() ? aNow : known->second;
     over.emplace(sample.run_, since);
-    pause = pause || aNow - since > kPauseAfter;
+    pause = pause || aNow - since > kOverloadTimeout;
   }
   aWorker.overSince_ = std::move(over);
   if (!aWorker.backfillPaused_ && pause && aWorker.backfillCpuMilli_ > 0) {
     aWorker.backfillPaused_ = true;
-    Note("backfill-paused",
-         {},
-         aWorker.node_,
-         "pressure " + std::to_string(aWorker.pressure_));
+    LogEvent("backfill-paused",
+             {},
+             aWorker.node_,
+             "pressure " + std::to_string(aWorker.pressure_));
     for (const SharingRun& one : aRuns) {
       if (!one.room_->serves_) {
         SetPace(aWorker, one, 0, aNow);
       }
     }
-  } else if (aWorker.backfillPaused_ && aWorker.pressure_ < kRecovered) {
+  } else if (aWorker.backfillPaused_ &&
+             aWorker.pressure_ < kRecoveredPressure) {
     aWorker.backfillPaused_ = false;
-    Note("backfill-resumed",
-         {},
-         aWorker.node_,
-         "pressure " + std::to_string(aWorker.pressure_));
+    LogEvent("backfill-resumed",
+             {},
+             aWorker.node_,
+             "pressure " + std::to_string(aWorker.pressure_));
   }
 }
 
@@ -215,8 +217,8 @@
     interference_.Speeds(aWorker.servingSamples_, backfill);
   for (std::size_t i = 0; i < paced.size(); ++i) {
     TaskRun& run = *paced[i]->run_;
-    const std::uint32_t least = run.starving_ ? kLeastPace : 0;
-    const std::uint32_t pace = std::max(least, PaceOf(speeds[i]));
+    const std::uint32_t minPace = run.starving_ ? kMinPace : 0;
+    const std::uint32_t pace = std::max(minPace, PaceOf(speeds[i]));
     if (pace != run.pace_) {
       SetPace(aWorker, *paced[i], pace, aNow);
     }
@@ -250,7 +252,7 @@
   // If all backfill on the worker is paused, the new run is paused too, until
   // PaceBackfill resumes it with the others.
   const std::uint32_t pace =
-    aWorker.backfillPaused_ ? 0 : std::max(kLeastPace, PaceOf(aSpeed));
+    aWorker.backfillPaused_ ? 0 : std::max(kMinPace, PaceOf(aSpeed));
   if (pace >= kFullPace) {
     return;
   }
@@ -277,9 +279,9 @@
     return;
   }
   run.slowSince_ = run.slowSince_.value_or(aNow);
-  const bool keepsWork =
-    aRun.place_.step_->spec_->checkpoints_ || run.percent_ <= kLittleWork;
-  if (aNow - *run.slowSince_ < kSlowFor || !keepsWork) {
+  const bool preservesWork = aRun.place_.step_->spec_->checkpoints_ ||
+                             run.percent_ <= kMaxDiscardedPercent;
+  if (aNow - *run.slowSince_ < kSlowPaceTimeout || !preservesWork) {
     return;
   }
   const FleetJob& job = *aRun.place_.entry_->job_;
--- a/Source/Process/FleetTimings.h
+++ b/Source/Process/FleetTimings.h
@@ -78,7 +78,7 @@
  * Validity of the leader's request for high-frequency reporting: until the
  * leader's next orders, plus one lost report.
  */
-constexpr Millis kWatchHolds{ 2500 };
+constexpr Millis kWatchValidity{ 2500 };
 
 /**
  * Margin by which a start must begin before the cancellation bound, which
@@ -89,7 +89,7 @@
 constexpr Millis kStartMargin{ 500 };
 
 /** Shortest remaining validity with which a start is ordered. */
-constexpr Millis kLeastStartTime{ 300 };
+constexpr Millis kMinStartValidity{ 300 };
 
 /**
  * Time without contact to a leader after which a side writes its row again,
--- a/Tests/Fleet/CancelledJobTest.cxx
+++ b/Tests/Fleet/CancelledJobTest.cxx
@@ -14,7 +14,7 @@
 
 /** Returns a world with one idle worker. */
 FleetWorld
-RestingWorld()
+IdleWorld()
 {
   FleetWorld world(1, { 1000, 64000, 0 });
   world.Run(Millis(1500));
@@ -42,12 +42,13 @@
 // side still has the order and a valid lease. Log of the failure: run-ordered
 // at 2.5 s, start calls without an answer until 4.9 s, cancellation answered at
 // 3.6 s, successful start call at 9.37 s.
-Test(CancelledJob, OrderOfALostLeaderIsNotCarriedOutLate)
+Test(CancelledJob, OrderOfALostLeaderExpires)
 {
   for (int cancelledAfter = 100; cancelledAfter <= 3100;
        cancelledAfter += 500) {
-    for (int muteFor = 200; muteFor <= 9000; muteFor += 200) {
-      FleetWorld world = RestingWorld();
+    for (int unresponsiveFor = 200; unresponsiveFor <= 9000;
+         unresponsiveFor += 200) {
+      FleetWorld world = IdleWorld();
       world.Host(0).worker_.mute_ = true;
       world.Submit(MakeJob("a", 1, 1000));
       world.Run(Millis(50));
@@ -61,7 +62,7 @@
           world.Cancel("a");
           cancelledAt = world.Now();
         }
-        if (world.Now() >= lostAt + Millis(muteFor)) {
+        if (world.Now() >= lostAt + Millis(unresponsiveFor)) {
           world.Host(0).worker_.mute_ = false;
         }
       }
@@ -70,7 +71,7 @@
                     "cancelled %d ms after the leader was lost, worker "
                     "unresponsive for %d ms",
                     cancelledAfter,
-                    muteFor);
+                    unresponsiveFor);
     }
   }
 }
@@ -80,12 +81,12 @@
 // acknowledgement and meanwhile starts tasks of the job as capacity becomes
 // free. Its starts must expire by the time up to which its view of the table is
 // current.
-Test(CancelledJob, LeaderThatIsBehindStartsNothingOfIt)
+Test(CancelledJob, LaggingLeaderStartsNoCancelledTask)
 {
   for (int lag = 500; lag <= 8000; lag += 500) {
-    for (int roomAfter = 500; roomAfter <= 8000; roomAfter += 500) {
-      FleetWorld world = RestingWorld();
-      world.Host(0).worker_.taskTime_ = Millis(roomAfter);
+    for (int capacityAfter = 500; capacityAfter <= 8000; capacityAfter += 500) {
+      FleetWorld world = IdleWorld();
+      world.Host(0).worker_.taskTime_ = Millis(capacityAfter);
       world.Submit(MakeJob("first", 1, 1000));
       world.Run(Millis(100));
       world.Submit(MakeJob("a", 1, 1000));
@@ -97,7 +98,7 @@
                     kCancelBound.count(),
                     "leader lag %d ms, room after %d ms",
                     lag,
-                    roomAfter);
+                    capacityAfter);
     }
   }
 }
@@ -105,10 +106,10 @@
 // Guards against orders that arrive seconds late, after the cancellation of the
 // job: delayed in the kernel of an overloaded host, or by a cut that heals
 // before the connection ends.
-Test(CancelledJob, OrderThatArrivesLateIsNotCarriedOut)
+Test(CancelledJob, LateOrderIsNotCarriedOut)
 {
   for (int delay = 200; delay <= 8000; delay += 200) {
-    FleetWorld world = RestingWorld();
+    FleetWorld world = IdleWorld();
     world.orderDelay_ = Millis(delay);
     world.Submit(MakeJob("a", 1, 1000));
     world.Run(Millis(50));
@@ -125,10 +126,10 @@
 // The protection against late starts must not end valid work: an unresponsive
 // worker, a lagging leader and late orders delay a job that is not cancelled,
 // but the job still runs exactly once.
-Test(CancelledJob, JobThatNobodyCancelledRunsOnceAllTheSame)
+Test(CancelledJob, JobThatIsNotCancelledRunsOnce)
 {
   for (int trouble = 500; trouble <= 6000; trouble += 500) {
-    FleetWorld world = RestingWorld();
+    FleetWorld world = IdleWorld();
     world.Host(0).worker_.mute_ = true;
     world.leaderLag_ = Millis(trouble);
     world.orderDelay_ = Millis(trouble / 4);
--- a/Tests/Fleet/FleetFailureTest.cxx
+++ b/Tests/Fleet/FleetFailureTest.cxx
@@ -7,7 +7,7 @@
 namespace {
 
 /** Longer than a leader waits for an unreachable host. */
-constexpr Millis kGivenUp{ 10500 };
+constexpr Millis kAbandonTimeout{ 10500 };
 
 std::string
 FirstTask(const std::string& aJob)
@@ -17,7 +17,7 @@
 
 }
 
-Test(FleetFailure, JobRunsToItsEnd)
+Test(FleetFailure, JobCompletes)
 {
   FleetWorld world(3);
   world.Run(Millis(1500));
@@ -29,7 +29,7 @@
   cr_assert_eq(world.MostRunsAtOnce(), 1);
 }
 
-Test(FleetFailure, StepsWaitForThoseBeforeThem)
+Test(FleetFailure, StepsWaitForTheirDependencies)
 {
   FleetWorld world(3);
   world.Run(Millis(1500));
@@ -74,7 +74,7 @@
 // process dies right after it sent a stop to its worker, and its next
 // incarnation polls the worker before the stop is complete. The run is not
 // listed, so its resources were given to another task.
-Test(FleetFailure, RestartedSideWaitsForStopsOfItsFormerLife)
+Test(FleetFailure, RestartedSideWaitsForStopsOfItsPreviousIncarnation)
 {
   FleetWorld world(2, { 1000, 64000, 0 });
   world.Run(Millis(1500));
@@ -112,13 +112,13 @@
   cr_assert_eq(world.Starts(FirstTask("payout")),
                1,
                "the task may still run on the unreachable host");
-  world.Run(kGivenUp);
+  world.Run(kAbandonTimeout);
   cr_assert_eq(world.Starts(FirstTask("payout")), 2);
   cr_assert_eq(world.MostRunsAtOnce(), 1);
 }
 
 // A short cut must not end the run: the side keeps it during the cut.
-Test(FleetFailure, TaskOutlivesAShortCut)
+Test(FleetFailure, TaskSurvivesAShortCut)
 {
   FleetWorld world(2);
   world.Run(Millis(1500));
@@ -137,7 +137,7 @@
 }
 
 // The leader dies; the next leader adopts all runs unchanged.
-Test(FleetFailure, NewLeaderAdoptsWhatRuns)
+Test(FleetFailure, NewLeaderAdoptsRuns)
 {
   FleetWorld world(3);
   world.Run(Millis(1500));
@@ -153,7 +153,7 @@
 
 // The leader dies and one host is unreachable. A task that is unknown to the
 // new leader may run there: old work waits, new work does not.
-Test(FleetFailure, NewLeaderStartsNoOldWorkWhileAHostIsUnheard)
+Test(FleetFailure, NewLeaderStartsNoOldWorkBeforeAllHostsReported)
 {
   FleetWorld world(2, { 1000, 64000, 0 });
   world.Run(Millis(1500));
@@ -169,13 +169,13 @@
   world.Submit(MakeJob("fresh", 1, 1000));
   world.Run(Millis(500));
   cr_assert_eq(world.Starts(FirstTask("fresh")), 1);
-  world.Run(kGivenUp);
+  world.Run(kAbandonTimeout);
   cr_assert_eq(world.MostRunsAtOnce(), 1);
 }
 
 // Old work waits for an unreachable host. The log must name the host while
 // nothing starts, and not only nine seconds later when the host is abandoned.
-Test(FleetFailure, LogNamesTheHostsThatOldWorkWaitsFor)
+Test(FleetFailure, LogNamesHostsThatDeferOldWork)
 {
   FleetWorld world(3);
   world.Run(Millis(1500));
@@ -184,7 +184,7 @@
   world.Run(Millis(2500));
   cr_assert_eq(world.Said("old-work-waits"), "no report yet from: side1; ");
   cr_assert_eq(world.Said("old-work-goes-on"), "");
-  world.Run(kGivenUp);
+  world.Run(kAbandonTimeout);
   cr_assert_neq(world.Said("old-work-goes-on"), "");
 }
 
@@ -197,12 +197,12 @@
   world.Run(Millis(1500));
   world.Submit(MakeJob("payout", 1, 1000));
   world.Run(Millis(300));
-  world.storeAway_ = true;
+  world.storeUnavailable_ = true;
   world.Run(Millis(2000));
   cr_assert_neq(world.StateOf("payout"), JobState::Completed);
   cr_assert_eq(world.Host(0).worker_.acknowledged_, 0);
   world.ChangeLeader();
-  world.storeAway_ = false;
+  world.storeUnavailable_ = false;
   world.Run(Millis(2000));
   cr_assert_eq(world.StateOf("payout"), JobState::Completed);
   cr_assert_eq(world.Starts(FirstTask("payout")), 1);
@@ -210,7 +210,7 @@
 }
 
 // A worker crashes and restarts at the same address: its runs are lost.
-Test(FleetFailure, WorkOfACrashedWorkerStartsAgain)
+Test(FleetFailure, TaskOfACrashedWorkerRestarts)
 {
   FleetWorld world(1);
   world.Run(Millis(1500));
@@ -224,12 +224,12 @@
 
 // A task that fails on every worker must not be retried forever; a task that
 // fails on a bad worker gets its second attempt elsewhere.
-Test(FleetFailure, HopelessJobFailsAfterItsAttempts)
+Test(FleetFailure, JobFailsAfterItsLastAttempt)
 {
   FleetWorld world(3);
   world.Run(Millis(1500));
   for (std::size_t i = 0; i < 3; ++i) {
-    world.Host(i).worker_.fails_ = true;
+    world.Host(i).worker_.failsRuns_ = true;
   }
   world.Submit(MakeJob("a", 1, 1000));
   world.Run(Millis(4000));
@@ -241,7 +241,7 @@
 {
   FleetWorld world(2);
   world.Run(Millis(1500));
-  world.Host(0).worker_.fails_ = true;
+  world.Host(0).worker_.failsRuns_ = true;
   for (int i = 0; i < 4; ++i) {
     world.Submit(MakeJob("job" + std::to_string(i), 1, 1000));
     world.Run(Millis(50));
@@ -261,11 +261,11 @@
   JobDescription job = MakeJob("a", 1, 1000);
   job.maxAttempts_ = 3;
   world.Submit(job);
-  world.Host(0).worker_.fails_ = true;
+  world.Host(0).worker_.failsRuns_ = true;
   world.Run(Millis(1150));
   world.ChangeLeader();
   world.Run(Millis(300));
-  world.Host(0).worker_.fails_ = false;
+  world.Host(0).worker_.failsRuns_ = false;
   world.Run(Millis(4000));
   cr_assert_eq(world.StateOf("a"), JobState::Completed);
 }
@@ -288,15 +288,15 @@
 // the end of the job is stored. The next leader reads the cancellation first;
 // without the wall-clock time it considered the retention of the job over and
 // deleted it, and the caller got "no such job".
-Test(FleetFailure, JobCancelledBeforeATakeoverIsStillKnown)
+Test(FleetFailure, JobCancelledBeforeATakeoverStaysKnown)
 {
   FleetWorld world(1);
   world.Run(Millis(1500));
   world.Submit(MakeJob("a", 1, 1000));
-  world.storeAway_ = true;
+  world.storeUnavailable_ = true;
   world.Cancel("a");
   world.ChangeLeader();
-  world.storeAway_ = false;
+  world.storeUnavailable_ = false;
   world.Run(Millis(1500));
   const auto state = world.Scheduler().StateOf("a");
   cr_assert(state.has_value());
@@ -315,14 +315,14 @@
   cr_assert_eq(world.Starts(FirstTask("a")), 0);
 }
 
-Test(FleetFailure, LongRunningTaskIsStartedAgainHoweverItEnds)
+Test(FleetFailure, LongRunningTaskRestartsAfterEachFailure)
 {
   FleetWorld world(2);
   world.Run(Millis(1500));
   JobDescription job = MakeJob("watch", 1, 1000);
   job.steps_.front().longRunning_ = true;
   world.Submit(job);
-  world.Host(0).worker_.fails_ = true;
+  world.Host(0).worker_.failsRuns_ = true;
   world.Run(Millis(6000));
   cr_assert_eq(world.StateOf("watch"), JobState::Running);
   cr_assert_geq(world.Starts(FirstTask("watch")), 4);
@@ -332,11 +332,11 @@
 // Guards against a downtime beside an empty worker: a worker failed all its
 // runs and was cordoned. Its fault is over but the cordon still holds, and all
 // other workers are full. The watcher's downtime was twenty seconds.
-Test(FleetFailure, LongRunningTaskTriesAWorkerSetAsideWhenOthersAreFull)
+Test(FleetFailure, LongRunningTaskUsesACordonedWorkerWhenOthersAreFull)
 {
   FleetWorld world(2, { 2000, 64000, 0 });
   world.Run(Millis(1500));
-  world.Host(0).worker_.fails_ = true;
+  world.Host(0).worker_.failsRuns_ = true;
   world.Host(0).worker_.taskTime_ = Millis(20);
   world.Host(1).worker_.taskTime_ = Millis(60000);
   for (int i = 0; i < 6; ++i) {
@@ -345,7 +345,7 @@
     world.Submit(job);
     world.Run(Millis(200));
   }
-  world.Host(0).worker_.fails_ = false;
+  world.Host(0).worker_.failsRuns_ = false;
   world.Host(0).worker_.taskTime_ = Millis(60000);
   JobDescription watch = MakeJob("watch", 1, 2000);
   watch.steps_.front().longRunning_ = true;
@@ -354,7 +354,7 @@
   cr_assert_geq(world.Starts(FirstTask("watch")), 1);
 }
 
-Test(FleetFailure, RoomIsNeverExceeded)
+Test(FleetFailure, WorkerCapacityIsNeverExceeded)
 {
   FleetWorld world(2, { 4000, 64000, 0 });
   world.Run(Millis(1500));
@@ -385,7 +385,7 @@
                2);
 }
 
-Test(FleetFailure, TimedJobRunsOnceEachTimeAndNotBefore)
+Test(FleetFailure, TimedJobRunsOncePerOccurrenceAndNotEarlier)
 {
   FleetWorld world(1);
   world.Run(Millis(1500));
@@ -488,16 +488,16 @@
   cr_assert_eq(failing.runs_.size(), 1);
   cr_assert_eq(ending.runs_.size(), 1);
   const std::string done = ending.runs_.front().task_;
-  world.storeAway_ = true;
+  world.storeUnavailable_ = true;
   world.Run(std::chrono::duration_cast<Millis>(ending.runs_.front().endsAt_ -
                                                world.Now()) -
             Millis(10));
-  failing.Fail(failing.runs_.front().task_);
+  failing.FailRun(failing.runs_.front().task_);
   world.Run(Millis(1000));
   cr_assert_eq(ending.RunsOf(done), 0);
   cr_assert_eq(ending.acknowledged_, 0);
   world.ChangeLeader();
-  world.storeAway_ = false;
+  world.storeUnavailable_ = false;
   world.Run(Millis(2000));
   cr_assert_eq(world.Starts(done), 1);
   cr_assert_eq(ending.acknowledged_, 1);
--- a/Tests/Fleet/FleetHarmTest.cxx
+++ b/Tests/Fleet/FleetHarmTest.cxx
@@ -6,7 +6,7 @@
 
 // A batch task makes a watcher's answers ten times slower. Users count four
 // seconds of that as harm, so the batch task must be paused earlier.
-Test(FleetHarm, BackfillThatDisturbsStandsStillWithinTwoSeconds)
+Test(FleetHarm, HarmfulBackfillIsPausedWithinTwoSeconds)
 {
   HarmBench bench;
   bench.scheduler_.OnJobStored(HarmBench::Serving(), bench.now_);
@@ -26,7 +26,7 @@
 // batch task's start, and reports once a second would be too late. The side of
 // a serving worker reports at high frequency with or without backfill, so that
 // the load is known in advance.
-Test(FleetHarm, SideOfAWorkerThatServesWatchesClosely)
+Test(FleetHarm, SideOfAServingWorkerReportsAtHighFrequency)
 {
   HarmBench bench;
   bench.Run(Millis(2500));
@@ -43,7 +43,7 @@
 // The latency exceeds its objective for a cause other than backfill, which is
 // harmless one task at a time: backfill pauses anyway and resumes once the
 // watcher has recovered.
-Test(FleetHarm, BackfillPausesWhateverTheCauseAndGoesOn)
+Test(FleetHarm, BackfillPausesForOtherCausesAndResumes)
 {
   HarmBench bench;
   bench.scheduler_.OnJobStored(HarmBench::Serving(), bench.now_);
@@ -64,7 +64,7 @@
 // disturb the only worker's watcher even at a tenth of its speed: it waited
 // forever with a third of the processors idle. It must run at a low pace
 // instead.
-Test(FleetHarm, BackfillThatWouldDisturbEverywhereRunsSlowly)
+Test(FleetHarm, BackfillThatDisturbsOnAllWorkersRunsSlowly)
 {
   HarmBench bench;
   bench.scheduler_.OnJobStored(HarmBench::Serving(), bench.now_);
@@ -82,7 +82,7 @@
 
 // A new leader takes over what the previous leader learned, so that users are
 // not disturbed by relearning.
-Test(FleetHarm, WhatWasLearnedOutlivesTheLeader)
+Test(FleetHarm, LearnedInterferenceSurvivesALeaderChange)
 {
   HarmBench first;
   ContentionModel& known = first.scheduler_.Interference().Model();
@@ -102,7 +102,7 @@
 // at full speed until that report all together made the watcher's answers ten
 // times slower. Tasks that exceed the remaining load limit must start at a
 // lower pace.
-Test(FleetHarm, TasksThatStartTogetherStartAtThePaceThatIsBorne)
+Test(FleetHarm, TasksThatStartTogetherStayWithinTheLoadLimit)
 {
   for (const double cost : { 0.04, 0.045, 0.05, 0.055, 0.06, 0.065 }) {
     HarmBench bench;
--- a/Tests/Fleet/FleetRandomTest.cxx
+++ b/Tests/Fleet/FleetRandomTest.cxx
@@ -16,7 +16,7 @@
 
 /** Applies one random fault or user action. */
 void
-Disturb(FleetWorld& aWorld, std::mt19937& aRandom, int aRound)
+InjectFault(FleetWorld& aWorld, std::mt19937& aRandom, int aRound)
 {
   constexpr std::size_t kHosts = 4;
   const std::size_t host = aRandom() % kHosts;
@@ -35,7 +35,7 @@
                                       std::to_string(aRound + 2));
       break;
     case 4:
-      aWorld.storeAway_ = !aWorld.storeAway_;
+      aWorld.storeUnavailable_ = !aWorld.storeUnavailable_;
       break;
     case 5:
       aWorld.Host(host).worker_.taskTime_ = Millis(200 + aRandom() % 4000);
@@ -58,7 +58,7 @@
 // Cuts, restarts, leader changes, crashes and table outages in random order: no
 // task has two runs at once, no worker exceeds its capacity, and every job ends
 // once the faults are over.
-Test(FleetRandom, NothingRunsTwiceNorOverRoomAndAllEnds)
+Test(FleetRandom, NoDuplicateRunsNoOverloadAndAllJobsEnd)
 {
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
     std::mt19937 random(seed);
@@ -66,10 +66,10 @@
     world.Run(Millis(1500));
     constexpr int kRounds = 40;
     for (int round = 0; round < kRounds; ++round) {
-      Disturb(world, random, round);
+      InjectFault(world, random, round);
       world.Run(Millis(20 + random() % 900));
     }
-    world.storeAway_ = false;
+    world.storeUnavailable_ = false;
     for (std::size_t host = 0; host < 4; ++host) {
       world.Cut(host, false);
       world.Host(host).worker_.taskTime_ = Millis(500);
--- a/Tests/Fleet/FleetWorld.cxx
+++ b/Tests/Fleet/FleetWorld.cxx
@@ -118,11 +118,12 @@
     return answer;
   }
   leaseUntil_ = std::max(leaseUntil_, At(aCall.leaseUntilMs_));
-  runs_.push_back({ order.task_,
-                    order.run_,
-                    order.checkpoint_,
-                    Lasts(order.task_) ? Instant::max() : aNow + taskTime_,
-                    std::nullopt });
+  runs_.push_back(
+    { order.task_,
+      order.run_,
+      order.checkpoint_,
+      IsLongRunning(order.task_) ? Instant::max() : aNow + taskTime_,
+      std::nullopt });
   started_.push_back(order.task_ + "/" + std::to_string(order.run_));
   startedAt_.push_back(aNow);
   return answer;
@@ -164,10 +165,11 @@
       continue;
     }
     const auto left = std::chrono::duration_cast<Millis>(run.endsAt_ - aNow);
-    const auto percent =
-      Lasts(run.task_) ? 100
-                       : 100 - 100 * std::max<std::int64_t>(0, left.count()) /
-                                 taskTime_.count();
+    const auto percent = IsLongRunning(run.task_)
+                           ? 100
+                           : 100 - 100 *
+                                     std::max<std::int64_t>(0, left.count()) /
+                                     taskTime_.count();
     answer.runs_.push_back({ run.task_,
                              run.run_,
                              false,
@@ -198,7 +200,7 @@
     } else if (run.stopsAt_.has_value() && aNow >= *run.stopsAt_) {
       End(run, EndKind::Stopped);
     } else if (!run.stopsAt_.has_value() && aNow >= run.endsAt_) {
-      End(run, fails_ ? EndKind::Failed : EndKind::Done);
+      End(run, failsRuns_ ? EndKind::Failed : EndKind::Done);
     } else {
       left.push_back(run);
     }
@@ -207,7 +209,7 @@
 }
 
 bool
-WorkerFake::Lasts(const std::string& aTask) const
+WorkerFake::IsLongRunning(const std::string& aTask) const
 {
   return std::any_of(
     lasting_.begin(), lasting_.end(), [&aTask](const std::string& aStart) {
@@ -216,7 +218,7 @@
 }
 
 void
-WorkerFake::Fail(const std::string& aTask)
+WorkerFake::FailRun(const std::string& aTask)
 {
   const auto failed =
     std::find_if(runs_.begin(), runs_.end(), [&aTask](const Run& aRun) {
@@ -286,12 +288,12 @@
   for (const auto& [id, job] : jobs_) {
     scheduler_->OnJobStored(job, now_);
   }
-  leaderGone_ = false;
+  leaderLost_ = false;
   sentOrders_.clear();
   for (const auto& [at, id] : cancelled_) {
     scheduler_->OnCancelStored(id, now_);
   }
-  cancelsTold_ = cancelled_.size();
+  deliveredCancels_ = cancelled_.size();
   for (const auto& [id, progress] : progress_) {
     scheduler_->OnProgressLoaded(id, progress, now_);
   }
@@ -312,7 +314,7 @@
 void
 FleetWorld::LoseLeader()
 {
-  leaderGone_ = true;
+  leaderLost_ = true;
   for (HostFake& host : hosts_) {
     host.linked_ = false;
   }
@@ -358,7 +360,7 @@
 FleetWorld::Submit(const JobDescription& aJob)
 {
   jobs_.emplace(aJob.id_, aJob);
-  if (!leaderGone_) {
+  if (!leaderLost_) {
     scheduler_->OnJobStored(aJob, now_);
   }
 }
@@ -367,15 +369,15 @@
 FleetWorld::Cancel(const std::string& aJob)
 {
   cancelled_.emplace_back(now_, aJob);
-  TellCancellations();
+  DeliverCancellations();
 }
 
 void
-FleetWorld::TellCancellations()
+FleetWorld::DeliverCancellations()
 {
-  while (!leaderGone_ && cancelsTold_ < cancelled_.size() &&
-         cancelled_[cancelsTold_].first + leaderLag_ <= now_) {
-    scheduler_->OnCancelStored(cancelled_[cancelsTold_++].second, now_);
+  while (!leaderLost_ && deliveredCancels_ < cancelled_.size() &&
+         cancelled_[deliveredCancels_].first + leaderLag_ <= now_) {
+    scheduler_->OnCancelStored(cancelled_[deliveredCancels_++].second, now_);
   }
 }
 
@@ -462,7 +464,7 @@
       std::visit([](const auto& aOne) { return aOne.head_.id_; }, call);
     aHost.keeper_->OnAnswer(id, aHost.worker_.Take(call, now_), now_);
   }
-  if (aHost.cut_ || leaderGone_) {
+  if (aHost.cut_ || leaderLost_) {
     return;
   }
   if (!aHost.linked_) {
@@ -518,8 +520,8 @@
 FleetWorld::StepLeader()
 {
   const std::int64_t wall = WallMs();
-  TellCancellations();
-  if (!storeAway_) {
+  DeliverCancellations();
+  if (!storeUnavailable_) {
     scheduler_->OnTableCurrent(now_ - leaderLag_);
   }
   for (SideOrders& orders : scheduler_->TakeOrders(now_, wall)) {
@@ -534,7 +536,7 @@
   for (FleetEvent& event : scheduler_->TakeEvents()) {
     events_.push_back(std::move(event));
   }
-  if (storeAway_) {
+  if (storeUnavailable_) {
     return;
   }
   if (!writing_.has_value()) {
@@ -580,10 +582,10 @@
       const StepSpec& step = job->second.steps_.at(name->step_);
       cpu += step.backfill_ ? 0 : step.cpuMilli_;
     }
-    overRoom_ = overRoom_ || cpu > host.room_.cpuMilli_;
+    capacityExceeded_ = capacityExceeded_ || cpu > host.room_.cpuMilli_;
   }
   for (const auto& [task, count] : running) {
-    mostAtOnce_ = std::max(mostAtOnce_, count);
+    maxConcurrentRuns_ = std::max(maxConcurrentRuns_, count);
   }
 }
 
@@ -593,7 +595,7 @@
   for (HostFake& host : hosts_) {
     StepHost(host);
   }
-  if (!leaderGone_) {
+  if (!leaderLost_) {
     StepLeader();
   }
   Check();
--- a/Tests/Fleet/FleetWorld.h
+++ b/Tests/Fleet/FleetWorld.h
@@ -47,7 +47,7 @@
   /** Ends the runs that are due. */
   void Advance(Instant aNow);
   /** Makes a run of the task fail. */
-  void Fail(const std::string& aTask);
+  void FailRun(const std::string& aTask);
   /** Simulates a crash: the worker restarts with a new identity and no runs. */
   void Crash(std::string aNewId);
   /** Number of current runs of a task, including those being stopped. */
@@ -61,7 +61,7 @@
    */
   std::set<std::string> lasting_;
   Millis stopTime_{ 500 };
-  bool fails_ = false;
+  bool failsRuns_ = false;
   /** The process has ended: its port refuses connections. */
   bool gone_ = false;
   /** The port accepts calls and closes them without an answer or an effect. */
@@ -81,7 +81,7 @@
   CallAnswer Start(const StartCall& aCall, Instant aNow);
   CallAnswer Stop(const StopCall& aCall, Instant aNow);
   CallAnswer Hold(const HoldCall& aCall, Instant aNow);
-  bool Lasts(const std::string& aTask) const;
+  bool IsLongRunning(const std::string& aTask) const;
   void End(const Run& aRun, EndKind aKind);
 
   Instant leaseUntil_;
@@ -142,16 +142,16 @@
   std::int64_t WallMs() const;
   JobState StateOf(const std::string& aJob);
   /** Largest number of simultaneous runs of one task so far. */
-  std::size_t MostRunsAtOnce() const { return mostAtOnce_; }
+  std::size_t MostRunsAtOnce() const { return maxConcurrentRuns_; }
   /** Whether a worker ever exceeded its capacity. */
-  bool EverOverRoom() const { return overRoom_; }
+  bool EverOverRoom() const { return capacityExceeded_; }
   std::size_t Starts(const std::string& aTask) const;
   /** Details of all log events of that name, empty if there are none. */
   std::string Said(std::string_view aEvent) const;
   /** Time of the last start of a task on any worker; none if there was none. */
   std::optional<Instant> LastStart(const std::string& aTask) const;
 
-  bool storeAway_ = false;
+  bool storeUnavailable_ = false;
   /** Delay after which the leader sees a cancellation in the table. */
   Millis leaderLag_{ 0 };
   /** Delivery time of orders to their side. */
@@ -182,7 +182,7 @@
   void Step();
   void StepHost(HostFake& aHost);
   void StepLeader();
-  void TellCancellations();
+  void DeliverCancellations();
   void DeliverOrders();
   void DeliverReports();
   void LoseLink(HostFake& aHost);
@@ -199,14 +199,14 @@
   /** Cancellations with the times at which they were stored. */
   std::vector<std::pair<Instant, std::string>> cancelled_;
   /** Number of cancellations that the leader has received. */
-  std::size_t cancelsTold_ = 0;
+  std::size_t deliveredCancels_ = 0;
   std::deque<SentOrders> sentOrders_;
   std::deque<SentReport> sentReports_;
   std::vector<FleetEvent> events_;
-  bool leaderGone_ = false;
+  bool leaderLost_ = false;
   std::optional<ProgressBatch> writing_;
-  std::size_t mostAtOnce_ = 0;
-  bool overRoom_ = false;
+  std::size_t maxConcurrentRuns_ = 0;
+  bool capacityExceeded_ = false;
 };
 
 /** Start of the wall clock, in ms since 1970. */
--- a/Tests/Fleet/LastingTaskTest.cxx
+++ b/Tests/Fleet/LastingTaskTest.cxx
@@ -15,7 +15,7 @@
  * Longest downtime of a long-running task after the end of a run that users
  * accept, where there is capacity for the task.
  */
-constexpr Millis kMostAway{ 6000 };
+constexpr Millis kMaxDowntime{ 6000 };
 
 constexpr const char* kWatched = "watch.0.0.0";
 
@@ -67,13 +67,13 @@
    * Fills two hosts with long-running tasks and quotes; then fails the only
    * task of one long-running job.
    */
-  void FailWatcherAfter(Millis aFor)
+  void FillAndFailWatcher(Millis aFor)
   {
     world_.Submit(Watcher("watch", 1, 8000));
     world_.Submit(Watcher("other", 4, 8000));
     world_.Run(Millis(300));
     Run(aFor, 40);
-    world_.Host(HostOf(kWatched)).worker_.Fail(kWatched);
+    world_.Host(HostOf(kWatched)).worker_.FailRun(kWatched);
   }
 
   std::size_t HostOf(const std::string& aTask)
@@ -98,8 +98,7 @@
 // and 121 became free when another feed ended.
 // One process per time of failure, because each takes half a minute under
 // sanitizers.
-ParameterizedTestParameters(LastingTask,
-                            IsBackWithinSecondsThoughUrgentWorkTakesEachGap)
+ParameterizedTestParameters(LastingTask, RestartsWithinSecondsUnderUrgentLoad)
 {
   static std::array<int, 8> waits{ 0, 80, 160, 240, 320, 400, 480, 560 };
   return cr_make_param_array(int, waits.data(), waits.size());
@@ -107,12 +106,12 @@
 
 ParameterizedTest(const int* aWait,
                   LastingTask,
-                  IsBackWithinSecondsThoughUrgentWorkTakesEachGap)
+                  RestartsWithinSecondsUnderUrgentLoad)
 {
   BusyFleet fleet(2, 64000);
-  fleet.FailWatcherAfter(Millis(4000 + *aWait));
+  fleet.FillAndFailWatcher(Millis(4000 + *aWait));
   const Instant failedAt = fleet.world_.Now();
-  fleet.Run(kMostAway, 40);
+  fleet.Run(kMaxDowntime, 40);
   cr_assert(fleet.world_.LastStart(kWatched) > failedAt,
             "failed after %d ms, did not restart",
             4000 + *aWait);
@@ -121,7 +120,7 @@
 // The same during a change of the leader. The next leader knows the feed only
 // from the table, which does not hold the end of its last run.
 ParameterizedTestParameters(LastingTask,
-                            IsBackWithinSecondsAfterAChangeOfLeader)
+                            RestartsWithinSecondsAfterALeaderChange)
 {
   static std::array<int, 4> waits{ 0, 160, 320, 480 };
   return cr_make_param_array(int, waits.data(), waits.size());
@@ -129,14 +128,14 @@
 
 ParameterizedTest(const int* aWait,
                   LastingTask,
-                  IsBackWithinSecondsAfterAChangeOfLeader)
+                  RestartsWithinSecondsAfterALeaderChange)
 {
   BusyFleet fleet(2, 64000);
-  fleet.FailWatcherAfter(Millis(4000 + *aWait));
+  fleet.FillAndFailWatcher(Millis(4000 + *aWait));
   fleet.Run(Millis(50), 40);
   const Instant changedAt = fleet.world_.Now();
   fleet.world_.ChangeLeader();
-  fleet.Run(kMostAway, 40);
+  fleet.Run(kMaxDowntime, 40);
   cr_assert(fleet.world_.LastStart(kWatched) > changedAt,
             "failed after %d ms, did not restart",
             4000 + *aWait);
@@ -146,7 +145,7 @@
 // nearly full of feeds: if the feeds of that worker took the capacity that is
 // left for quotes, no caller would get one until feeds end. Short work keeps at
 // least as much of each worker as a feed takes.
-Test(LastingTask, TakesNoRoomThatUrgentWorkCannotSpare)
+Test(LastingTask, LeavesCapacityForUrgentWork)
 {
   BusyFleet fleet(4, 16000);
   fleet.world_.Submit(Watcher("watch", 1, 8000));
@@ -159,13 +158,13 @@
   fleet.world_.Cut(crashed, true);
   // Long enough for the crashed worker to be abandoned.
   fleet.Run(Millis(20000), 4);
-  constexpr int kLast = 12;
+  constexpr int kCheckedQuotes = 12;
   int served = 0;
-  for (int i = fleet.next_ - kLast; i < fleet.next_; ++i) {
+  for (int i = fleet.next_ - kCheckedQuotes; i < fleet.next_; ++i) {
     const JobState state = fleet.world_.StateOf("quote" + std::to_string(i));
     served += state == JobState::Completed || state == JobState::Running;
   }
-  cr_assert_eq(served, kLast);
+  cr_assert_eq(served, kCheckedQuotes);
 }
 
 namespace {
@@ -204,7 +203,7 @@
 
 // Guards against a task of the same job that never ran and takes the resources
 // of a failed task during its restart backoff.
-ParameterizedTestParameters(LastingTask, KeepsItsRoomFromTasksThatNeverRan)
+ParameterizedTestParameters(LastingTask, ReservationExcludesTasksThatNeverRan)
 {
   static std::array<int, 4> failures{ 1, 2, 5, 12 };
   return cr_make_param_array(int, failures.data(), failures.size());
@@ -212,11 +211,12 @@
 
 ParameterizedTest(const int* aFailures,
                   LastingTask,
-                  KeepsItsRoomFromTasksThatNeverRan)
+                  ReservationExcludesTasksThatNeverRan)
 {
   CrowdedFleet fleet;
   for (int i = 0; i < *aFailures; ++i) {
-    fleet.world_.Host(fleet.HostOf("watch.0.0.1")).worker_.Fail("watch.0.0.1");
+    fleet.world_.Host(fleet.HostOf("watch.0.0.1"))
+      .worker_.FailRun("watch.0.0.1");
     fleet.world_.Run(Millis(1500));
     cr_assert_eq(fleet.world_.Starts("watch.0.0.1"),
                  static_cast<std::size_t>(i) + 2);
@@ -228,20 +228,20 @@
 
 // Guards against callers' work that takes the resources of a failed task during
 // its restart backoff.
-Test(LastingTask, KeepsItsRoomFromUrgentWork)
+Test(LastingTask, ReservationExcludesUrgentWork)
 {
   BusyFleet fleet(2, 64000);
-  fleet.FailWatcherAfter(Millis(4000));
+  fleet.FillAndFailWatcher(Millis(4000));
   const Instant failedAt = fleet.world_.Now();
   fleet.Run(Millis(1000), 40);
   cr_assert(fleet.world_.LastStart(kWatched) > failedAt);
 }
 
 // Guards against a reservation for a task that no longer needs it.
-Test(LastingTask, RoomOfACancelledJobIsFreeAtOnce)
+Test(LastingTask, CancellationReleasesTheReservation)
 {
   CrowdedFleet fleet;
-  fleet.world_.Host(fleet.HostOf("watch.0.0.1")).worker_.Fail("watch.0.0.1");
+  fleet.world_.Host(fleet.HostOf("watch.0.0.1")).worker_.FailRun("watch.0.0.1");
   fleet.world_.Run(Millis(50));
   fleet.world_.Cancel("watch");
   fleet.world_.Submit(MakeJob("quote", 4, 8000));
@@ -251,7 +251,7 @@
 
 // Guards against tasks that never ran and start together with restarting tasks
 // of their job, before the restarting tasks of a younger job.
-Test(LastingTask, GoesBeforeTasksThatNeverRanOfAJobThatComesBackToo)
+Test(LastingTask, PrecedesNewTasksOfAnOlderRestartingJob)
 {
   FleetWorld world(2, { 16000, 512000, 0 });
   world.Run(Millis(1500));
@@ -277,7 +277,7 @@
 
 // Guards against tasks of an older job that never ran and take the resources of
 // tasks that lost theirs in a crash of their worker.
-Test(LastingTask, GoesBeforeTasksThatNeverRan)
+Test(LastingTask, PrecedesNewTasksOfAnOlderJob)
 {
   FleetWorld world(3, { 16000, 512000, 0 });
   world.Host(0).labels_ = { "fast" };
--- a/Tests/Fleet/StarvingBackfillTest.cxx
+++ b/Tests/Fleet/StarvingBackfillTest.cxx
@@ -26,7 +26,7 @@
   {
     bench_.scheduler_.OnJobStored(HarmBench::Serving(), bench_.now_);
     bench_.Run(Millis(2000));
-    TeachHarm();
+    TeachInterference();
     JobDescription batch = HarmBench::Backfill("batch");
     batch.steps_.front().count_ = 4;
     bench_.scheduler_.OnJobStored(batch, bench_.now_);
@@ -34,7 +34,7 @@
   }
 
   /** A task of the batch job would triple the watcher's load. */
-  void TeachHarm()
+  void TeachInterference()
   {
     ContentionModel& model = bench_.scheduler_.Interference().Model();
     model.Teach(
@@ -48,7 +48,7 @@
 
 // The first task of the job waits for a better worker. After a wait in vain,
 // each further task starts as soon as the previous one has ended.
-Test(StarvingBackfill, JobWaitsOnceForABetterPlaceNotOnceATask)
+Test(StarvingBackfill, JobWaitsOnlyOnceForABetterWorker)
 {
   DisturbingBatch scene;
   HarmBench& bench = scene.bench_;
@@ -61,7 +61,7 @@
 }
 
 // A task that was stopped for its low pace restarts as soon as it has ended.
-Test(StarvingBackfill, StoppedTaskIsBackAtOnce)
+Test(StarvingBackfill, StoppedTaskRestartsAtOnce)
 {
   DisturbingBatch scene;
   HarmBench& bench = scene.bench_;
@@ -79,7 +79,7 @@
   HarmBench& bench = scene.bench_;
   cr_assert_lt(bench.paces_.front().percent_, 20);
   for (int task = 0; task < 3; ++task) {
-    scene.TeachHarm();
+    scene.TeachInterference();
     bench.End("batch", EndKind::Done);
     bench.Run(kNextReport);
     const auto runs = std::count_if(
@@ -92,7 +92,7 @@
 
 // The watcher exceeds its objective and all backfill beside it is paused: a
 // task that starts there is paused too until the watcher recovers.
-Test(StarvingBackfill, StartsAtRestWhereBackfillIsPaused)
+Test(StarvingBackfill, BackfillStartsPausedWhereBackfillIsPaused)
 {
   DisturbingBatch scene;
   HarmBench& bench = scene.bench_;
