--- a/Source/Process/FleetSchedulerReports.cxx
+++ b/Source/Process/FleetSchedulerReports.cxx
@@ -22,7 +22,7 @@
  */
 constexpr Millis kRestartBackoff{ 100 };
 constexpr Millis kMaxRestartBackoff{ 1000 };
-/** Number of workers on which a long-running task failed that it avoids. */
+/** Maximum number of workers that a long-running task avoids after failures. */
 constexpr std::size_t kMaxAvoidedWorkers = 4;
 
 /** Returns the reason for the log why an ordered run did not start. */
--- a/Source/Process/FleetSchedulerSharing.cxx
+++ b/Source/Process/FleetSchedulerSharing.cxx
@@ -24,8 +24,8 @@
  */
 constexpr std::ptrdiff_t kMaxWatchedWorkers = 20;
 /**
- * Pressure above which a worker is reported at high frequency beyond that
- * limit.
+ * Pressure, the ratio of latency to objective, above which a worker is reported
+ * at high frequency beyond that limit.
  */
 constexpr double kHighPressure = 0.75;
 /**
--- a/Tests/Fleet/HarmBench.h
+++ b/Tests/Fleet/HarmBench.h
@@ -118,7 +118,7 @@
   std::vector<StopOrder> stops_;
   std::vector<PaceOrder> paces_;
   std::uint32_t latency_ = 4;
-  /** Period of high-frequency reporting that was ordered last. */
+  /** Validity of the last order of high-frequency reporting; 0 if none. */
   std::uint64_t watchMicros_ = 0;
 };
 
