--- a/Source/Process/FleetSchedulerPlacement.cxx
+++ b/Source/Process/FleetSchedulerPlacement.cxx
@@ -1,4 +1,4 @@
-// FleetScheduler: which waiting task starts where.
+// FleetScheduler: placement of waiting tasks on workers.
 
 #include "Process/FleetScheduler.h"
 
@@ -9,13 +9,18 @@
 
 namespace {
 
-/** A job of backfill with nothing running takes any worker after this; users
- * count one as lost after three seconds. It waits so once, see PlaceStarving.
+/**
+ * Time after which a backfill job without any run accepts any worker; users
+ * count a job as lost after three seconds. A job waits only once, see
+ * PlaceStarving.
+ */
+constexpr Millis kStarvationTimeout{ 1500 };
+/**
+ * Longest time ahead for which the load of serving tasks is predicted when
+ * backfill is placed. The time ahead is the duration of the backfill task, but
+ * the load cannot be predicted for longer.
  */
-constexpr Millis kStarved{ 1500 };
-/** Backfill is placed for so long a time ahead at most: its task's duration,
- * but further ahead the load of those that serve can't be told. */
-constexpr Millis kFarthestAhead{ 300 };
+constexpr Millis kMaxPredictionAhead{ 300 };
 
 }
 
@@ -26,7 +31,7 @@
 }
 
 Instant
-FleetScheduler::StartsUntil() const
+FleetScheduler::StartExpiry() const
 {
   return tableAsOf_ + (bounds_.cancelBound_ - kStartMargin);
 }
@@ -35,23 +40,23 @@
  * Whether an order given now could still be carried out.
  *
  * A leader that is seconds behind the table would start tasks whose
- * cancellation has been acknowledged. The table answers every 0.8 s at least,
- * so a calm fleet never waits for this.
+ * cancellation has been acknowledged. The table answers at least every 0.8 s,
+ * so starts in a healthy fleet are never withheld.
  */
 bool
 FleetScheduler::MayStart(Instant aNow)
 {
-  const bool may = loaded_ && aNow + kLeastStartTime < StartsUntil();
-  if (loaded_ && may == withheld_) {
-    withheld_ = !may;
+  const bool canStart = loaded_ && aNow + kMinStartValidity < StartExpiry();
+  if (loaded_ && canStart == startsWithheld_) {
+    startsWithheld_ = !canStart;
     const auto age = std::chrono::duration_cast<Millis>(aNow - tableAsOf_);
-    Note(may ? "starts-go-on" : "starts-withheld",
-         {},
-         {},
-         "the table was last heard of " + std::to_string(age.count()) +
-           " ms ago");
+    LogEvent(canStart ? "starts-go-on" : "starts-withheld",
+             {},
+             {},
+             "the view of the table is " + std::to_string(age.count()) +
+               " ms old");
   }
-  return may;
+  return canStart;
 }
 
 std::vector<SideOrders>
@@ -59,7 +64,7 @@
 {
   wallMs_ = aWallMs;
   BeginDueJobs(aNow, aWallMs);
-  GiveUpUnreachable(aNow);
+  AbandonUnreachable(aNow);
   if (MayStart(aNow)) {
     PlaceReady(aNow);
   }
@@ -69,9 +74,9 @@
       orders_.erase(node);
       continue;
     }
-    const bool grantDue = aNow - worker.grantedAt_ >= kReportPeriod;
+    const bool renewalDue = aNow - worker.grantedAt_ >= kReportPeriod;
     const auto found = orders_.find(node);
-    if (found == orders_.end() && !grantDue && !worker.acknowledgementDue_) {
+    if (found == orders_.end() && !renewalDue && !worker.acknowledgementDue_) {
       continue;
     }
     SideOrders orders;
@@ -84,17 +89,18 @@
     orders.orders_.sequence_ = ++worker.ordersSent_;
     orders.orders_.echoMicros_ = worker.echoMicros_;
     if (!orders.orders_.starts_.empty()) {
-      // The side's clock read the echo when it reported, which was before the
-      // report was taken in: at worst the starts are void that much sooner.
-      const Micros left = StartsUntil() - worker.reportedAt_;
+      // The side read its clock for the echo before the leader received the
+      // report. The starts expire earlier by this delay at most.
+      const Micros remaining = StartExpiry() - worker.reportedAt_;
       orders.orders_.startsUntilMicros_ =
-        worker.echoMicros_ + static_cast<std::uint64_t>(left.count());
+        worker.echoMicros_ + static_cast<std::uint64_t>(remaining.count());
     }
     orders.orders_.holdMicros_ = static_cast<std::uint64_t>(
       std::chrono::duration_cast<Micros>(kAuthority).count());
     orders.orders_.watchMicros_ =
-      worker.watched_ ? static_cast<std::uint64_t>(Micros(kWatchHolds).count())
-                      : 0;
+      worker.watched_
+        ? static_cast<std::uint64_t>(Micros(kWatchValidity).count())
+        : 0;
     orders.orders_.workerId_ = worker.facts_.id_;
     orders.orders_.endsStored_ = worker.endsStored_;
     worker.acknowledgementDue_ = false;
@@ -107,21 +113,21 @@
 void
 FleetScheduler::PlaceReady(Instant aNow)
 {
-  const bool holdOld = HoldsOldWork(aNow);
+  const bool deferOldWork = DefersOldWork(aNow);
   misses_.Clear();
   for (auto& [node, worker] : workers_) {
     worker.DropKeptUntil(aNow);
   }
   std::vector<ReadyKey> placed;
-  // Work of a lower priority must not take the room that is being made.
-  std::optional<std::int64_t> blocked;
+  // Work of a lower priority must not take capacity that preemption frees.
+  std::optional<std::int64_t> blockedPriority;
   for (const ReadyKey& key : PlacementOrder()) {
     const auto found = jobs_.find(key.job_);
     if (found == jobs_.end() || found->second.job_->IsOver()) {
       placed.push_back(key);
       continue;
     }
-    if (found->second.old_ && holdOld) {
+    if (found->second.fromEarlierLeader_ && deferOldWork) {
       continue;
     }
     const FleetStep* step =
@@ -130,17 +136,18 @@
       placed.push_back(key);
       continue;
     }
-    if (IsHeldBack(found->second, *step, aNow)) {
+    if (IsDeferred(found->second, *step, aNow)) {
       continue;
     }
     const bool backfill = step->spec_->backfill_;
-    if (blocked.has_value() && key.priority_ > *blocked && !backfill) {
+    if (blockedPriority.has_value() && key.priority_ > *blockedPriority &&
+        !backfill) {
       continue;
     }
     if (PlaceStep(key, aNow)) {
       placed.push_back(key);
-    } else if (!blocked.has_value() && !backfill) {
-      blocked = key.priority_;
+    } else if (!blockedPriority.has_value() && !backfill) {
+      blockedPriority = key.priority_;
     }
   }
   for (const ReadyKey& key : placed) {
@@ -153,12 +160,12 @@
 {
   const JobDescription& spec = aJob.Spec();
   if (aStep.spec_->longRunning_) {
-    const bool returning = HasReturning(jobs_.at(spec.id_), aStep);
-    return { returning ? JobOutlook::Returning : JobOutlook::Standing,
+    const bool restarting = HasRestarting(jobs_.at(spec.id_), aStep);
+    return { restarting ? JobOutlook::Returning : JobOutlook::Standing,
              spec.acceptedAtMs_ };
   }
   std::vector<double> all;
-  std::vector<double> left;
+  std::vector<double> remaining;
   const auto occurrence = aJob.Occurrences().find(aStep.occurrence_);
   for (std::size_t i = 0; i < spec.steps_.size(); ++i) {
     const bool begun = occurrence != aJob.Occurrences().end();
@@ -166,7 +173,7 @@
     all.push_back(step != nullptr ? ExpectedMillis(aJob, *step)
                                   : durations_.ExpectedMillis(
                                       spec.queue_, spec.steps_[i].estimateMs_));
-    left.push_back(step != nullptr && step->AllDone() ? 0 : all.back());
+    remaining.push_back(step != nullptr && step->AllDone() ? 0 : all.back());
   }
   JobTimes times;
   times.dueMs_ =
@@ -175,7 +182,7 @@
           static_cast<std::int64_t>(aStep.occurrence_) * spec.intervalMs_
       : spec.acceptedAtMs_;
   times.chainMs_ = ChainMillis(spec.steps_, all);
-  times.leftMs_ = ChainMillis(spec.steps_, left);
+  times.leftMs_ = ChainMillis(spec.steps_, remaining);
   return RankOf(spec, times, wallMs_);
 }
 
@@ -226,16 +233,16 @@
   }
   FillOptions(*entry.job_, step, aNow);
   bool allPlaced = true;
-  // Tasks that never ran would take the room of those that come back, of other
-  // jobs too.
-  const bool returning = HasReturning(entry, step);
+  // Tasks that never ran would take the capacity of restarting tasks, also of
+  // other jobs.
+  const bool restarting = HasRestarting(entry, step);
   for (std::uint32_t i = 0; i < step.tasks_.size(); ++i) {
     const FleetTask& task = step.tasks_[i];
     if (!task.Waits()) {
       continue;
     }
-    const bool yields = returning && !AwaySince(entry, task).has_value();
-    if (yields || task.notBefore_ > aNow) {
+    const bool mustWait = restarting && !DowntimeStart(entry, task).has_value();
+    if (mustWait || task.notBefore_ > aNow) {
       allPlaced = false;
     } else if (!PlaceOrMiss(entry, step, i, aNow)) {
       return false;
@@ -257,34 +264,34 @@
   if (PlaceStarving(aEntry, aStep, aIndex, aNow)) {
     return true;
   }
-  NoteMiss(*aEntry.job_, aStep, aNow);
-  MakeRoom(*aEntry.job_, aStep, aNow);
-  NoteLastingWaits(aEntry, aStep, aIndex, aNow);
-  KeepRoomFor(aEntry, aStep, aStep.tasks_[aIndex], aNow);
+  RecordMiss(*aEntry.job_, aStep, aNow);
+  PreemptFor(*aEntry.job_, aStep, aNow);
+  LogLongRunningWait(aEntry, aStep, aIndex, aNow);
+  ReserveWorkerFor(aEntry, aStep, aStep.tasks_[aIndex], aNow);
   return false;
 }
 
 void
-FleetScheduler::NoteMiss(const FleetJob& aJob,
-                         const FleetStep& aStep,
-                         Instant aNow)
+FleetScheduler::RecordMiss(const FleetJob& aJob,
+                           const FleetStep& aStep,
+                           Instant aNow)
 {
   const JobDescription& spec = aJob.Spec();
   misses_.Add(spec, *aStep.spec_);
   if (!aStep.spec_->longRunning_ && !aStep.spec_->backfill_) {
-    standing_.OnMissed(spec.service_, spec.priority_, aNow);
+    longRunningAdmission_.OnMissed(spec.service_, spec.priority_, aNow);
   }
 }
 
-/** Whether a step like this one has found no worker in this pass. */
+/** Whether a similar step has found no worker in this pass. */
 bool
 FleetScheduler::MissesAgain(JobEntry& aEntry,
                             const FleetStep& aStep,
                             Instant aNow)
 {
   const JobDescription& spec = aEntry.job_->Spec();
-  // Backfill of which nothing runs has a way of its own, and so has a job for
-  // which room is kept.
+  // Backfill jobs without a run are placed by PlaceStarving, and jobs with a
+  // reservation can use their reserved worker.
   const bool idle = aStep.spec_->backfill_ && aEntry.job_->Idle();
   if (idle || !misses_.Covers(spec, *aStep.spec_) ||
       !reservations_.NodeOf(spec.id_, aNow).empty()) {
@@ -308,7 +315,7 @@
     }
   }
   options_.clear();
-  ++fleetLooks_;
+  ++workerScans_;
   for (auto& [node, worker] : workers_) {
     const auto same = sameStep.find(node);
     WorkerOption option;
@@ -323,9 +330,9 @@
 }
 
 void
-FleetScheduler::NotePlaced(std::size_t aOption,
-                           const FleetJob& aJob,
-                           const FleetStep& aStep)
+FleetScheduler::UpdateOption(std::size_t aOption,
+                             const FleetJob& aJob,
+                             const FleetStep& aStep)
 {
   WorkerOption& option = options_[aOption];
   ++option.sameStep_;
@@ -348,7 +355,7 @@
     }
     const Millis expected(static_cast<std::int64_t>(
       durations_.ExpectedMillis(aJob.Spec().queue_, aStep.estimateMs_)));
-    const Millis ahead = std::min(kFarthestAhead, expected);
+    const Millis ahead = std::min(kMaxPredictionAhead, expected);
     known = aWorker.fits_
               .emplace(aStep.image_,
                        interference_.FitOfOneMore(
@@ -404,7 +411,7 @@
 {
   FleetTask& task = aStep.tasks_[aIndex];
   if (!task.keptOn_.empty()) {
-    return PlaceReturned(aEntry, aStep, aIndex, aNow);
+    return PlaceWithReservation(aEntry, aStep, aIndex, aNow);
   }
   const auto chosen = ChooseAmongOptions(*aEntry.job_, aStep, task, aNow);
   if (!chosen.has_value()) {
@@ -414,12 +421,14 @@
   return true;
 }
 
-/** Places a task for which room is kept, there or elsewhere. */
+/**
+ * Places a task that has a reservation, on the reserved worker or elsewhere.
+ */
 bool
-FleetScheduler::PlaceReturned(JobEntry& aEntry,
-                              FleetStep& aStep,
-                              std::uint32_t aIndex,
-                              Instant aNow)
+FleetScheduler::PlaceWithReservation(JobEntry& aEntry,
+                                     FleetStep& aStep,
+                                     std::uint32_t aIndex,
+                                     Instant aNow)
 {
   FleetTask& task = aStep.tasks_[aIndex];
   const std::string node = std::exchange(task.keptOn_, {});
@@ -449,9 +458,9 @@
   FleetTask& task = aStep.tasks_[aIndex];
   FleetWorker& worker = workers_.at(options_[aOption].worker_->node_);
   StartRun(aEntry, aStep, aIndex, worker, aEntry.job_->NextRun(task), aNow);
-  NotePlaced(aOption, *aEntry.job_, aStep);
+  UpdateOption(aOption, *aEntry.job_, aStep);
   if (aStep.spec_->backfill_) {
-    // Others would never be told to go on: PaceBackfill minds backfill only.
+    // Only backfill: PaceBackfill would never raise the pace of other tasks.
     StartAtPace(worker, aEntry, aStep, aIndex, fit.speed_);
   }
   if (!fit.known_) {
@@ -460,12 +469,14 @@
 }
 
 /**
- * Starts one task of a job of backfill that would disturb someone wherever it
- * went: slowly, where it disturbs least, at a pace that keeps it harmless.
+ * Starts one task of a backfill job that would disturb serving tasks on every
+ * worker: on the worker where it disturbs least, at a pace that makes it
+ * harmless.
  *
- * Such a job must still get on. It waits kStarved for a better place, but once,
- * not after each of its tasks. A task that is stopped to move elsewhere and
- * finds the place taken is back at once for the same reason.
+ * Such a job must still make progress. It waits kStarvationTimeout for a better
+ * worker, but only once and not after each of its tasks. For the same reason a
+ * task that is stopped for a move and finds its new place taken restarts at
+ * once.
  */
 bool
 FleetScheduler::PlaceStarving(JobEntry& aEntry,
@@ -478,7 +489,7 @@
     return false;
   }
   aEntry.idleSince_ = aEntry.idleSince_.value_or(aNow);
-  if (!aEntry.starving_ && aNow - *aEntry.idleSince_ < kStarved) {
+  if (!aEntry.starving_ && aNow - *aEntry.idleSince_ < kStarvationTimeout) {
     return false;
   }
   FleetTask& task = aStep.tasks_[aIndex];
@@ -492,23 +503,24 @@
   aEntry.idleSince_.reset();
   PlaceOn(*chosen, aEntry, aStep, aIndex, aNow);
   task.runs_.back().starving_ = true;
-  Note("backfill-starving",
-       aEntry.job_->Spec().id_,
-       task.runs_.back().node_,
-       "nothing of it ran for " + std::to_string(idle.count()) + " ms");
+  LogEvent("backfill-starving",
+           aEntry.job_->Spec().id_,
+           task.runs_.back().node_,
+           "no task of the job ran for " + std::to_string(idle.count()) +
+             " ms");
   return true;
 }
 
 bool
 FleetScheduler::PlaceGang(JobEntry& aEntry, FleetStep& aStep, Instant aNow)
 {
-  // All members start together under one run number, or none does: a part of a
-  // gang would hold its room and do nothing.
-  const bool allWait = std::all_of(
+  // All members of a gang start together under one run number, or none does: an
+  // incomplete gang would occupy resources without progress.
+  const bool allWaiting = std::all_of(
     aStep.tasks_.begin(), aStep.tasks_.end(), [aNow](const FleetTask& aTask) {
       return aTask.Waits() && aTask.notBefore_ <= aNow;
     });
-  if (!allWait) {
+  if (!allWaiting) {
     return false;
   }
   std::uint32_t run = 0;
@@ -532,7 +544,7 @@
       aEntry.job_->Spec().id_, aStep.occurrence_, aStep.index_, i
     };
     worker->Hold(name.Text(), run, RoomOf(*aStep.spec_, aEntry.job_->Spec()));
-    NotePlaced(*option, *aEntry.job_, aStep);
+    UpdateOption(*option, *aEntry.job_, aStep);
     TaskRun placeholder;
     placeholder.node_ = worker->node_;
     aStep.tasks_[i].runs_.push_back(placeholder);
@@ -546,7 +558,7 @@
     aStep.tasks_[i].runs_.clear();
   }
   if (chosen.size() < aStep.tasks_.size()) {
-    MakeRoom(*aEntry.job_, aStep, aNow);
+    PreemptFor(*aEntry.job_, aStep, aNow);
     return false;
   }
   for (std::uint32_t i = 0; i < chosen.size(); ++i) {
@@ -579,7 +591,7 @@
   aWorker.Hold(text, aRun, RoomOf(*aStep.spec_, spec));
   health_.OnStart(aWorker.node_, aNow);
   if (aStep.spec_->longRunning_ && !aEntry.job_->EverStarted()) {
-    // A next leader must not hold it back.
+    // Stored so that the next leader does not defer the job.
     MarkChanged(aEntry);
   }
   aEntry.job_->SetStarted();
@@ -590,15 +602,17 @@
       aStep.spec_->checkpoints_ ? task.checkpoint_ : std::string(),
       {} });
   const std::string detail = "run " + std::to_string(aRun);
-  Note("run-ordered", text, aWorker.node_, detail);
+  LogEvent("run-ordered", text, aWorker.node_, detail);
   if (aStep.spec_->longRunning_ && task.endedAt_.has_value()) {
-    // A line of its own: of run-ordered so many are written that in a large
-    // fleet a third of them is only counted.
-    const auto away = std::chrono::duration_cast<Millis>(aNow - *task.endedAt_);
-    Note("lasting-back",
-         text,
-         aWorker.node_,
-         detail + ", away for " + std::to_string(away.count()) + " ms");
+    // A separate event, because run-ordered is so frequent that in a large
+    // fleet a third of its lines are only counted.
+    const auto downtime =
+      std::chrono::duration_cast<Millis>(aNow - *task.endedAt_);
+    LogEvent("lasting-back",
+             text,
+             aWorker.node_,
+             detail + ", after a downtime of " +
+               std::to_string(downtime.count()) + " ms");
   }
 }
 
--- a/Source/Process/FleetSchedulerReports.cxx
+++ b/Source/Process/FleetSchedulerReports.cxx
@@ -1,4 +1,4 @@
-// FleetScheduler: what sides report, and what that says of runs.
+// FleetScheduler: processes the reports of sides and applies them to runs.
 
 #include "Process/FleetScheduler.h"
 
@@ -9,32 +9,37 @@
 
 namespace {
 
-/** A worker that said "no room" although we counted some gets nothing new for
- * this long: something is there that we don't know of. */
-constexpr Millis kFullPause{ 300 };
+/**
+ * Time for which a worker gets no new tasks after it refused a start for lack
+ * of capacity, or for no specific reason, although free capacity was accounted
+ * for it. Such a worker runs something that the scheduler does not know.
+ */
+constexpr Millis kNoCapacityPause{ 300 };
 
-/** Pause before a long-running task that failed starts again: so much more
- * after each failure. Users allow six seconds. */
-constexpr Millis kBackoff{ 100 };
-constexpr Millis kLongestBackoff{ 1000 };
-/** Workers that a long-running task remembers to have failed on. */
-constexpr std::size_t kMostAvoided = 4;
+/**
+ * Restart backoff of a long-running task, which grows by this amount with each
+ * failure. Users accept a downtime of six seconds.
+ */
+constexpr Millis kRestartBackoff{ 100 };
+constexpr Millis kMaxRestartBackoff{ 1000 };
+/** Maximum number of workers that a long-running task avoids after failures. */
+constexpr std::size_t kMaxAvoidedWorkers = 4;
 
-/** Why a run that was ordered did not start, for the log. */
+/** Returns the reason for the log why an ordered run did not start. */
 std::string_view
 TextOf(StartRefusal aWhy)
 {
   switch (aWhy) {
     case StartRefusal::Old:
-      return "refused: it, or a later run, has ended there";
+      return "refused: this run or a later one has already ended there";
     case StartRefusal::NoRoom:
       return "refused: its worker has no room";
     case StartRefusal::Ticket:
-      return "refused: its ticket is not valid there";
+      return "refused: its ticket is not valid on that worker";
     case StartRefusal::Other:
       return "refused by its worker";
     case StartRefusal::Expired:
-      return "given back: its worker did not take it in time";
+      return "returned: its worker did not accept it in time";
   }
   return "refused";
 }
@@ -65,8 +70,8 @@
   worker.synced_ = false;
   worker.ordersSent_ = 0;
   orders_.erase(aNode);
-  // Orders that were lost with the last link: the first report says which
-  // starts arrived, and stops are ordered again.
+  // Orders may be lost with the last link. The first report lists the starts
+  // that arrived, and stops are ordered again.
   for (const auto& [key, room] : worker.held_) {
     const auto name = TaskKey::Parse(key.first);
     const auto place = name.has_value() ? Find(*name) : std::nullopt;
@@ -110,15 +115,15 @@
   }
   FleetWorker& worker = found->second;
   const bool first = !worker.synced_;
-  const std::size_t underWay = first ? OrdersUnderWay(worker) : 0;
+  const std::size_t startsInFlight = first ? StartsInFlight(worker) : 0;
   worker.echoMicros_ = aReport.clockMicros_;
   worker.reportedAt_ = aNow;
   if (aReport.worker_.id_ != worker.facts_.id_) {
-    OnNewLife(worker, aReport, aNow);
+    OnNewIncarnation(worker, aReport, aNow);
   }
   if (aReport.worker_.draining_ && !worker.facts_.draining_) {
     worker.drainingSince_ = aNow;
-    Note("worker-draining", {}, aNode, aReport.worker_.id_);
+    LogEvent("worker-draining", {}, aNode, aReport.worker_.id_);
   }
   worker.facts_ = aReport.worker_;
   worker.measuredAt_ =
@@ -127,29 +132,30 @@
   worker.suspect_ = false;
   worker.left_ = aReport.worker_.id_.empty() && aReport.runs_.empty();
   for (const EndFact& end : aReport.ends_) {
-    TakeEnd(worker, end, aNow);
+    HandleEnd(worker, end, aNow);
   }
   for (const RefusedRun& refused : aReport.refused_) {
-    TakeRefusal(worker, refused, aNow);
+    HandleRefusal(worker, refused, aNow);
   }
   Reconcile(worker, aReport, aNow);
-  CareForRuns(worker, aNow);
+  MaintainRuns(worker, aNow);
   if (first) {
-    const auto unlinked =
+    const auto unlinkedTime =
       std::chrono::duration_cast<Millis>(aNow - worker.lostAt_);
-    Note("side-synced",
-         {},
-         aNode,
-         aReport.worker_.id_ + ", " + std::to_string(worker.held_.size()) +
-           " runs, nothing was ordered for " +
-           std::to_string(unlinked.count()) + " ms, " +
-           std::to_string(underWay) + " starts were under way");
+    LogEvent("side-synced",
+             {},
+             aNode,
+             aReport.worker_.id_ + ", " + std::to_string(worker.held_.size()) +
+               " runs, no orders for " + std::to_string(unlinkedTime.count()) +
+               " ms, " + std::to_string(startsInFlight) + " starts in flight");
   }
 }
 
-/** Starts that were ordered on the last link and not reported on it. */
+/**
+ * Number of starts that were ordered on the last link but not reported on it.
+ */
 std::size_t
-FleetScheduler::OrdersUnderWay(const FleetWorker& aWorker)
+FleetScheduler::StartsInFlight(const FleetWorker& aWorker)
 {
   return static_cast<std::size_t>(std::count_if(
     aWorker.held_.begin(), aWorker.held_.end(), [&](const auto& aEntry) {
@@ -164,17 +170,17 @@
 }
 
 void
-FleetScheduler::OnNewLife(FleetWorker& aWorker,
-                          const FleetReport& aReport,
-                          Instant aNow)
+FleetScheduler::OnNewIncarnation(FleetWorker& aWorker,
+                                 const FleetReport& aReport,
+                                 Instant aNow)
 {
-  // A worker that crashed runs nothing in its new life, and numbers its ends
-  // from one again.
+  // A worker that crashed has no runs in its new incarnation, and numbers its
+  // ends from one again.
   if (!aWorker.facts_.id_.empty()) {
-    Note("worker-new-life",
-         {},
-         aWorker.node_,
-         aWorker.facts_.id_ + " is now " + aReport.worker_.id_);
+    LogEvent("worker-new-life",
+             {},
+             aWorker.node_,
+             aWorker.facts_.id_ + " was replaced by " + aReport.worker_.id_);
     DropAllRuns(aWorker, "its worker crashed", aNow);
   }
   aWorker.DropKept();
@@ -192,7 +198,9 @@
 }
 
 void
-FleetScheduler::TakeEnd(FleetWorker& aWorker, const EndFact& aEnd, Instant aNow)
+FleetScheduler::HandleEnd(FleetWorker& aWorker,
+                          const EndFact& aEnd,
+                          Instant aNow)
 {
   if (aEnd.number_ <= aWorker.endsSeen_) {
     return;
@@ -201,15 +209,16 @@
   aWorker.Release(aEnd.task_, aEnd.run_);
   aWorker.strangers_.erase({ aEnd.task_, aEnd.run_ });
   const auto name = TaskKey::Parse(aEnd.task_);
-  std::optional<Place> place = name.has_value() ? Find(*name) : std::nullopt;
-  bool mustStore = false;
+  std::optional<TaskLocation> place =
+    name.has_value() ? Find(*name) : std::nullopt;
+  bool storeRequired = false;
   if (place.has_value()) {
-    mustStore = ApplyEnd(aWorker, aEnd, *name, *place, aNow);
-    if (mustStore) {
+    storeRequired = ApplyEnd(aWorker, aEnd, *name, *place, aNow);
+    if (storeRequired) {
       MarkChanged(*place->entry_);
     }
   }
-  aWorker.unstored_.push_back({ aEnd.number_, mustStore ? nextBatch_ : 0 });
+  aWorker.unstored_.push_back({ aEnd.number_, storeRequired ? nextBatch_ : 0 });
   while (!aWorker.unstored_.empty() && aWorker.unstored_.front().batch_ == 0) {
     aWorker.endsStored_ = aWorker.unstored_.front().number_;
     aWorker.acknowledgementDue_ = true;
@@ -221,7 +230,7 @@
 FleetScheduler::ApplyEnd(FleetWorker& aWorker,
                          const EndFact& aEnd,
                          const TaskKey& aName,
-                         Place& aPlace,
+                         TaskLocation& aPlace,
                          Instant aNow)
 {
   FleetTask& task = *aPlace.task_;
@@ -229,16 +238,16 @@
   task.lastRun_ = std::max(task.lastRun_, aEnd.run_);
   if (aPlace.entry_->job_->IsOver() || task.done_) {
     RemoveRun(aPlace, aWorker.node_, aEnd.run_, aNow);
-    // Until the table says why this end changes nothing, a next leader would
-    // start the task again.
-    const bool waits = !IsFinal(aPlace.entry_->storedState_);
-    if (waits && aEnd.kind_ == EndKind::Done) {
-      Note("end-waits",
-           aEnd.task_,
-           aWorker.node_,
-           "acknowledged once its job's state is stored");
+    // Until the table holds the reason why this end changes nothing, the next
+    // leader would start the task again.
+    const bool awaitsStore = !IsFinal(aPlace.entry_->storedState_);
+    if (awaitsStore && aEnd.kind_ == EndKind::Done) {
+      LogEvent("end-waits",
+               aEnd.task_,
+               aWorker.node_,
+               "acknowledged once its job's state is stored");
     }
-    return waits;
+    return awaitsStore;
   }
   if (aEnd.kind_ == EndKind::Done && !spec.longRunning_) {
     OnRunDone(aWorker, aEnd, aPlace, aName, aNow);
@@ -248,24 +257,24 @@
     OnRunFailed(aWorker, aEnd, aPlace, aName, aNow);
     return true;
   }
-  Note("run-ended",
-       aEnd.task_,
-       aWorker.node_,
-       "run " + std::to_string(aEnd.run_) + " ended as kind " +
-         std::to_string(static_cast<int>(aEnd.kind_)));
-  const bool saved = spec.checkpoints_ && !aEnd.checkpoint_.empty();
-  if (saved) {
+  LogEvent("run-ended",
+           aEnd.task_,
+           aWorker.node_,
+           "run " + std::to_string(aEnd.run_) + " ended with kind " +
+             std::to_string(static_cast<int>(aEnd.kind_)));
+  const bool newCheckpoint = spec.checkpoints_ && !aEnd.checkpoint_.empty();
+  if (newCheckpoint) {
     task.checkpoint_ = aEnd.checkpoint_;
   }
   RemoveRun(aPlace, aWorker.node_, aEnd.run_, aNow);
   BreakGang(aPlace, aName);
-  return saved;
+  return newCheckpoint;
 }
 
 void
 FleetScheduler::OnRunDone(FleetWorker& aWorker,
                           const EndFact& aEnd,
-                          Place& aPlace,
+                          TaskLocation& aPlace,
                           const TaskKey& aName,
                           Instant aNow)
 {
@@ -278,19 +287,22 @@
   RemoveRun(aPlace, aWorker.node_, aEnd.run_, aNow);
   job.OnDone(*aPlace.step_, task, aNow);
   for (TaskRun& copy : task.runs_) {
-    OrderStop(copy.node_, aName.Text(), copy, "a copy ended first");
+    OrderStop(copy.node_, aName.Text(), copy, "another copy completed first");
   }
   if (aPlace.step_->spec_->gang_) {
     OnGangDone(aPlace, aEnd.run_, aNow);
   }
-  SettleJob(*aPlace.entry_);
+  ResolveJob(*aPlace.entry_);
 }
 
 void
-FleetScheduler::OnGangDone(Place& aPlace, std::uint32_t aRun, Instant aNow)
+FleetScheduler::OnGangDone(TaskLocation& aPlace,
+                           std::uint32_t aRun,
+                           Instant aNow)
 {
-  // The members of a gang end well together, so one such end speaks for all;
-  // a member whose end is lost with its worker must not start the gang again.
+  // All members of a gang complete together, so the completion of one member
+  // implies the others. A member whose end is lost with its worker must not
+  // start the gang again.
   for (FleetTask& member : aPlace.step_->tasks_) {
     if (!member.done_ && member.lastRun_ == aRun) {
       aPlace.entry_->job_->OnDone(*aPlace.step_, member, aNow);
@@ -301,7 +313,7 @@
 void
 FleetScheduler::OnRunFailed(FleetWorker& aWorker,
                             const EndFact& aEnd,
-                            Place& aPlace,
+                            TaskLocation& aPlace,
                             const TaskKey& aName,
                             Instant aNow)
 {
@@ -311,20 +323,21 @@
   health_.OnFailure(aWorker.node_, aName.job_, aNow);
   RemoveRun(aPlace, aWorker.node_, aEnd.run_, aNow);
   task.avoid_.push_back(aWorker.node_);
-  Note("run-failed",
-       aEnd.task_,
-       aWorker.node_,
-       "run " + std::to_string(aEnd.run_));
+  LogEvent("run-failed",
+           aEnd.task_,
+           aWorker.node_,
+           "run " + std::to_string(aEnd.run_));
   if (spec.longRunning_) {
-    // No limit, so no count; a pause, or it would start and fail all the time.
+    // Failures of long-running tasks are not limited, so they do not count as
+    // attempts. The backoff prevents a continuous loop of starts and failures.
     ++task.quickFailures_;
-    task.notBefore_ =
-      aNow + std::min(kLongestBackoff, kBackoff * task.quickFailures_);
-    if (task.avoid_.size() > kMostAvoided) {
+    task.notBefore_ = aNow + std::min(kMaxRestartBackoff,
+                                      kRestartBackoff * task.quickFailures_);
+    if (task.avoid_.size() > kMaxAvoidedWorkers) {
       task.avoid_.erase(task.avoid_.begin());
     }
     if (task.Waits()) {
-      KeepRoomOfFailed(aWorker, aName, aPlace, aNow);
+      ReserveForRestart(aWorker, aName, aPlace, aNow);
     }
     return;
   }
@@ -347,7 +360,7 @@
 }
 
 void
-FleetScheduler::BreakGang(Place& aPlace, const TaskKey& aName)
+FleetScheduler::BreakGang(TaskLocation& aPlace, const TaskKey& aName)
 {
   if (!aPlace.step_->spec_->gang_) {
     return;
@@ -355,13 +368,16 @@
   for (std::uint32_t i = 0; i < aPlace.step_->tasks_.size(); ++i) {
     const TaskKey member{ aName.job_, aName.occurrence_, aName.step_, i };
     for (TaskRun& run : aPlace.step_->tasks_[i].runs_) {
-      OrderStop(run.node_, member.Text(), run, "its gang broke");
+      OrderStop(run.node_,
+                member.Text(),
+                run,
+                "another member of its gang is not running");
     }
   }
 }
 
 void
-FleetScheduler::RemoveRun(Place& aPlace,
+FleetScheduler::RemoveRun(TaskLocation& aPlace,
                           const std::string& aNode,
                           std::uint32_t aRun,
                           Instant aNow)
@@ -377,13 +393,13 @@
 }
 
 void
-FleetScheduler::TakeRefusal(FleetWorker& aWorker,
-                            const RefusedRun& aRefused,
-                            Instant aNow)
+FleetScheduler::HandleRefusal(FleetWorker& aWorker,
+                              const RefusedRun& aRefused,
+                              Instant aNow)
 {
   if (aRefused.why_ == StartRefusal::NoRoom ||
       aRefused.why_ == StartRefusal::Other) {
-    aWorker.fullUntil_ = aNow + kFullPause;
+    aWorker.fullUntil_ = aNow + kNoCapacityPause;
   }
   DropRun(aWorker, aRefused.task_, aRefused.run_, TextOf(aRefused.why_), aNow);
 }
@@ -397,14 +413,15 @@
 {
   aWorker.Release(aTask, aRun);
   const auto name = TaskKey::Parse(aTask);
-  std::optional<Place> place = name.has_value() ? Find(*name) : std::nullopt;
+  std::optional<TaskLocation> place =
+    name.has_value() ? Find(*name) : std::nullopt;
   if (!place.has_value()) {
     return;
   }
-  Note("run-dropped",
-       aTask,
-       aWorker.node_,
-       "run " + std::to_string(aRun) + ": " + std::string(aWhy));
+  LogEvent("run-dropped",
+           aTask,
+           aWorker.node_,
+           "run " + std::to_string(aRun) + ": " + std::string(aWhy));
   RemoveRun(*place, aWorker.node_, aRun, aNow);
   if (!place->entry_->job_->IsOver()) {
     BreakGang(*place, *name);
@@ -434,7 +451,7 @@
   std::set<std::pair<std::string, std::uint32_t>> reported;
   for (const RunFact& fact : aReport.runs_) {
     reported.emplace(fact.task_, fact.run_);
-    TakeRun(aWorker, fact, aNow);
+    HandleRun(aWorker, fact, aNow);
   }
   std::erase_if(aWorker.strangers_, [&reported](const auto& aKey) {
     return !reported.contains(aKey);
@@ -449,27 +466,28 @@
     const TaskRun* run = place.has_value()
                            ? FindRun(*place->task_, aWorker.node_, key.second)
                            : nullptr;
-    // A start that the side had not seen when it reported is on its way.
+    // A start that the side had not received when it reported is in flight.
     if (run != nullptr && run->orderSequence_ > aReport.ordersSeen_) {
       continue;
     }
     gone.push_back(key);
   }
   for (const auto& [task, run] : gone) {
-    DropRun(aWorker, task, run, "not on its worker", aNow);
+    DropRun(aWorker, task, run, "its worker does not report it", aNow);
   }
 }
 
 void
-FleetScheduler::TakeRun(FleetWorker& aWorker,
-                        const RunFact& aFact,
-                        Instant aNow)
+FleetScheduler::HandleRun(FleetWorker& aWorker,
+                          const RunFact& aFact,
+                          Instant aNow)
 {
   const auto name = TaskKey::Parse(aFact.task_);
-  std::optional<Place> place = name.has_value() ? Find(*name) : std::nullopt;
+  std::optional<TaskLocation> place =
+    name.has_value() ? Find(*name) : std::nullopt;
   if (!place.has_value()) {
     if (aWorker.strangers_.emplace(aFact.task_, aFact.run_).second) {
-      Note("stranger-stopped", aFact.task_, aWorker.node_);
+      LogEvent("stranger-stopped", aFact.task_, aWorker.node_);
       OrdersFor(aWorker).stops_.push_back({ aFact.task_, aFact.run_ });
     }
     return;
@@ -489,13 +507,17 @@
                  aFact.run_,
                  RoomOf(*place->step_->spec_, place->entry_->job_->Spec()));
     place->entry_->job_->SetStarted();
-    Note("run-adopted",
-         aFact.task_,
-         aWorker.node_,
-         "run " + std::to_string(aFact.run_));
+    LogEvent("run-adopted",
+             aFact.task_,
+             aWorker.node_,
+             "run " + std::to_string(aFact.run_));
     const bool allowed = !elsewhere || place->step_->spec_->allowsCopies_;
     if (place->entry_->job_->IsOver() || task.done_ || !allowed) {
-      OrderStop(aWorker.node_, aFact.task_, *run, "it must not run here");
+      OrderStop(aWorker.node_,
+                aFact.task_,
+                *run,
+                "it must not run here: its job or task has ended, or it runs "
+                "elsewhere");
     }
   }
   if (run->phase_ == RunPhase::Stopping && run->orderSequence_ == 0) {
--- a/Source/Process/FleetSchedulerSharing.cxx
+++ b/Source/Process/FleetSchedulerSharing.cxx
@@ -1,5 +1,5 @@
-// FleetScheduler: tasks that serve their own users beside backfill: what their
-// latencies teach, and how fast the backfill may work.
+// FleetScheduler: serving tasks beside backfill: learns the interference from
+// measured latencies and sets the pace of backfill.
 
 #include "Process/FleetScheduler.h"
 
@@ -11,34 +11,48 @@
 
 namespace {
 
-/** A serving task over its objective for so long, for whatever cause, makes all
- * backfill beside it stand still until it has recovered: guards against harm
- * that the learned costs don't explain, within the 4 s that users allow. */
-constexpr Millis kPauseAfter{ 1800 };
-constexpr double kRecovered = 0.75;
-/** Sides that watch closely cost a leader four reports a second each. No more
- * do, of a fleet of any size... */
-constexpr std::ptrdiff_t kMostWatched = 20;
-/** ...but for those with a task that is this near to its objective. */
-constexpr double kPressed = 0.75;
-/** What a backfill task uses is measured over half a second. */
-constexpr Millis kMeasured{ 900 };
-/** Weight of the newest share that backfill got. */
-constexpr double kLearnShare = 0.2;
-/** ...and how fast it is forgotten where no backfill runs. */
-constexpr double kForgetShare = 0.1;
+/**
+ * Time that a serving task may exceed its objective, for any cause, before all
+ * backfill beside it is paused until it recovers. Limits harm that the learned
+ * costs do not predict to less than the 4 s that users accept.
+ */
+constexpr Millis kOverloadTimeout{ 1800 };
+constexpr double kRecoveredPressure = 0.75;
+/**
+ * Maximum number of workers under high-frequency reporting in a fleet of any
+ * size, because each costs the leader four reports per second.
+ */
+constexpr std::ptrdiff_t kMaxWatchedWorkers = 20;
+/**
+ * Pressure, the ratio of latency to objective, above which a worker is reported
+ * at high frequency beyond that limit.
+ */
+constexpr double kHighPressure = 0.75;
+/**
+ * Runtime after which the CPU usage of a backfill run is a valid measurement;
+ * usage is measured over half a second.
+ */
+constexpr Millis kMinUsageSample{ 900 };
+/** Weight of the newest sample in the CPU share that backfill gets. */
+constexpr double kShareWeight = 0.2;
+/** Rate at which that share decays where no backfill runs. */
+constexpr double kShareDecay = 0.1;
 
-/** Paces are ordered in steps of so many percent: smaller ones cost orders. */
+/** Granularity of ordered paces in percent; a finer one costs more orders. */
 constexpr std::uint32_t kPaceStep = 10;
 constexpr std::uint32_t kFullPace = 100;
-/** A task that would starve works at this pace at least. */
-constexpr std::uint32_t kLeastPace = 5;
-/** Backfill that has worked below this pace for so long moves, with its
- * checkpoint, if it may work twice as fast elsewhere. */
+/** Lowest pace of a run that would otherwise starve. */
+constexpr std::uint32_t kMinPace = 5;
+/**
+ * Backfill below this pace for kSlowPaceTimeout moves, with its checkpoint, if
+ * it can run at least twice as fast elsewhere.
+ */
 constexpr std::uint32_t kSlowPace = 40;
-constexpr Millis kSlowFor{ 1200 };
-/** Percent of a task without checkpoints that a move may throw away. */
-constexpr std::uint32_t kLittleWork = 20;
+constexpr Millis kSlowPaceTimeout{ 1200 };
+/**
+ * Progress in percent that a move of a task without checkpoints may discard.
+ */
+constexpr std::uint32_t kMaxDiscardedPercent = 20;
 
 std::uint32_t
 PaceOf(double aSpeed)
@@ -50,12 +64,12 @@
 
 }
 
-/** One run on a worker, with where its task is kept. */
+/** Run on a worker, with its task and the resources it holds. */
 struct FleetScheduler::SharingRun
 {
   std::string name_;
   const TaskRoom* room_ = nullptr;
-  Place place_;
+  TaskLocation place_;
   TaskRun* run_ = nullptr;
 };
 
@@ -83,7 +97,7 @@
 }
 
 void
-FleetScheduler::WatchServing(FleetWorker& aWorker, Instant aNow)
+FleetScheduler::MonitorServing(FleetWorker& aWorker, Instant aNow)
 {
   const std::vector<SharingRun> runs = SharingRuns(aWorker);
   std::vector<BackfillSample> backfill;
@@ -97,7 +111,7 @@
     if (!one.room_->serves_) {
       backfill.push_back(
         { spec.image_, aWorker.TenthsOf(spec.cpuMilli_), run.pace_ / 100.0 });
-      if (aNow - run.startedAt_ > kMeasured && run.pace_ == 100 &&
+      if (aNow - run.startedAt_ > kMinUsageSample && run.pace_ == 100 &&
           run.measure_ > 0) {
         asked += static_cast<double>(spec.cpuMilli_);
         used += static_cast<double>(run.measure_);
@@ -115,12 +129,12 @@
   }
   const double share = asked > 0 ? std::min(1.0, used / asked) : 1;
   aWorker.backfillShare_ +=
-    (asked > 0 ? kLearnShare : kForgetShare) * (share - aWorker.backfillShare_);
+    (asked > 0 ? kShareWeight : kShareDecay) * (share - aWorker.backfillShare_);
   interference_.Record(aWorker.node_, backfill, aNow);
   interference_.Measure(
     aWorker.node_, aWorker.servingSamples_, aWorker.measuredAt_);
   aWorker.fits_.clear();
-  WatchClosely(aWorker, !aWorker.servingSamples_.empty());
+  UpdateReportRate(aWorker, !aWorker.servingSamples_.empty());
   PauseBackfill(aWorker, runs, aNow);
   if (!aWorker.backfillPaused_) {
     PaceBackfill(aWorker, runs, aNow);
@@ -128,17 +142,18 @@
 }
 
 void
-FleetScheduler::WatchClosely(FleetWorker& aWorker, bool aServes)
+FleetScheduler::UpdateReportRate(FleetWorker& aWorker, bool aHasServing)
 {
   aWorker.watched_ = false;
-  if (!aServes) {
+  if (!aHasServing) {
     return;
   }
   const auto watched =
     std::count_if(workers_.begin(), workers_.end(), [](const auto& aEntry) {
       return aEntry.second.watched_;
     });
-  aWorker.watched_ = watched < kMostWatched || aWorker.pressure_ > kPressed;
+  aWorker.watched_ =
+    watched < kMaxWatchedWorkers || aWorker.pressure_ > kHighPressure;
 }
 
 void
@@ -156,26 +171,27 @@
     const Instant since =
       known == aWorker.overSince_.end() ? aNow : known->second;
     over.emplace(sample.run_, since);
-    pause = pause || aNow - since > kPauseAfter;
+    pause = pause || aNow - since > kOverloadTimeout;
   }
   aWorker.overSince_ = std::move(over);
   if (!aWorker.backfillPaused_ && pause && aWorker.backfillCpuMilli_ > 0) {
     aWorker.backfillPaused_ = true;
-    Note("backfill-paused",
-         {},
-         aWorker.node_,
-         "pressure " + std::to_string(aWorker.pressure_));
+    LogEvent("backfill-paused",
+             {},
+             aWorker.node_,
+             "pressure " + std::to_string(aWorker.pressure_));
     for (const SharingRun& one : aRuns) {
       if (!one.room_->serves_) {
         SetPace(aWorker, one, 0, aNow);
       }
     }
-  } else if (aWorker.backfillPaused_ && aWorker.pressure_ < kRecovered) {
+  } else if (aWorker.backfillPaused_ &&
+             aWorker.pressure_ < kRecoveredPressure) {
     aWorker.backfillPaused_ = false;
-    Note("backfill-resumed",
-         {},
-         aWorker.node_,
-         "pressure " + std::to_string(aWorker.pressure_));
+    LogEvent("backfill-resumed",
+             {},
+             aWorker.node_,
+             "pressure " + std::to_string(aWorker.pressure_));
   }
 }
 
@@ -201,8 +217,8 @@
     interference_.Speeds(aWorker.servingSamples_, backfill);
   for (std::size_t i = 0; i < paced.size(); ++i) {
     TaskRun& run = *paced[i]->run_;
-    const std::uint32_t least = run.starving_ ? kLeastPace : 0;
-    const std::uint32_t pace = std::max(least, PaceOf(speeds[i]));
+    const std::uint32_t minPace = run.starving_ ? kMinPace : 0;
+    const std::uint32_t pace = std::max(minPace, PaceOf(speeds[i]));
     if (pace != run.pace_) {
       SetPace(aWorker, *paced[i], pace, aNow);
     }
@@ -219,7 +235,7 @@
   TaskRun& run = *aRun.run_;
   run.pace_ = aPace;
   run.everPaced_ = true;
-  // Its progress is judged anew from here.
+  // Progress is evaluated from here on.
   run.progressAt_ = aNow;
   run.firstReportAt_ = aNow;
   run.firstPercent_ = run.percent_;
@@ -233,15 +249,16 @@
                             std::uint32_t aIndex,
                             double aSpeed)
 {
-  // Where all backfill stands still for someone's sake this stands still too,
-  // until PaceBackfill lets it go on with the others.
+  // If all backfill on the worker is paused, the new run is paused too, until
+  // PaceBackfill resumes it with the others.
   const std::uint32_t pace =
-    aWorker.backfillPaused_ ? 0 : std::max(kLeastPace, PaceOf(aSpeed));
+    aWorker.backfillPaused_ ? 0 : std::max(kMinPace, PaceOf(aSpeed));
   if (pace >= kFullPace) {
     return;
   }
-  // A first report comes half a second later: until then it would work at full
-  // speed, and several that start together would disturb at once.
+  // The first report arrives half a second later. Until then the run would work
+  // at full speed, and several runs that start together would interfere at
+  // once.
   TaskRun& run = aStep.tasks_[aIndex].runs_.back();
   run.pace_ = pace;
   run.everPaced_ = true;
@@ -262,9 +279,9 @@
     return;
   }
   run.slowSince_ = run.slowSince_.value_or(aNow);
-  const bool keepsWork =
-    aRun.place_.step_->spec_->checkpoints_ || run.percent_ <= kLittleWork;
-  if (aNow - *run.slowSince_ < kSlowFor || !keepsWork) {
+  const bool preservesWork = aRun.place_.step_->spec_->checkpoints_ ||
+                             run.percent_ <= kMaxDiscardedPercent;
+  if (aNow - *run.slowSince_ < kSlowPaceTimeout || !preservesWork) {
     return;
   }
   const FleetJob& job = *aRun.place_.entry_->job_;
@@ -278,7 +295,8 @@
     OrderStop(aWorker.node_,
               aRun.name_,
               run,
-              "it may work at " + std::to_string(run.pace_) + " percent here");
+              "it can work only at " + std::to_string(run.pace_) +
+                " percent on this worker");
   }
 }
 
--- a/Tests/Fleet/CancelledJobTest.cxx
+++ b/Tests/Fleet/CancelledJobTest.cxx
@@ -6,21 +6,25 @@
 
 namespace {
 
-/** From the acknowledgement of a cancellation on, no task of the job starts
- * later than this; the users' bound. */
+/**
+ * Longest delay between the acknowledgement of a job's cancellation and a start
+ * of one of its tasks, as agreed with the users.
+ */
 constexpr Millis kCancelBound{ 3000 };
 
-/** A world of one worker that is at rest. */
+/** Returns a world with one idle worker. */
 FleetWorld
-RestingWorld()
+IdleWorld()
 {
   FleetWorld world(1, { 1000, 64000, 0 });
   world.Run(Millis(1500));
   return world;
 }
 
-/** How much later than its job's cancellation the task was last started; zero
- * for never, or before it. */
+/**
+ * Returns the delay from the job's cancellation to the last start of the task;
+ * zero if there was no start or an earlier one.
+ */
 Millis
 StartedAfter(const FleetWorld& aWorld, Instant aCancelledAt)
 {
@@ -32,18 +36,19 @@
 
 }
 
-// A booking's quote is ordered just as its worker's port goes mute, and the
-// leader's host is lost a moment later. The booking is cancelled, and the
-// caller is told so. When the port answers again, seconds later, the side still
-// has the order and authority enough, and carries it out: the quote starts for
-// nobody. Seen in logs: run-ordered at 2.5 s, start calls without an answer to
-// 4.9 s, cancellation answered at 3.6 s, the call that started it at 9.37 s.
-Test(CancelledJob, OrderOfALostLeaderIsNotCarriedOutLate)
+// Guards against a late start for a cancelled booking. A task is ordered just
+// before its worker stops answering and the leader's host is lost; then the
+// cancellation is acknowledged. Seconds later the worker answers again, and the
+// side still has the order and a valid lease. Log of the failure: run-ordered
+// at 2.5 s, start calls without an answer until 4.9 s, cancellation answered at
+// 3.6 s, successful start call at 9.37 s.
+Test(CancelledJob, OrderOfALostLeaderExpires)
 {
   for (int cancelledAfter = 100; cancelledAfter <= 3100;
        cancelledAfter += 500) {
-    for (int muteFor = 200; muteFor <= 9000; muteFor += 200) {
-      FleetWorld world = RestingWorld();
+    for (int unresponsiveFor = 200; unresponsiveFor <= 9000;
+         unresponsiveFor += 200) {
+      FleetWorld world = IdleWorld();
       world.Host(0).worker_.mute_ = true;
       world.Submit(MakeJob("a", 1, 1000));
       world.Run(Millis(50));
@@ -57,30 +62,31 @@
           world.Cancel("a");
           cancelledAt = world.Now();
         }
-        if (world.Now() >= lostAt + Millis(muteFor)) {
+        if (world.Now() >= lostAt + Millis(unresponsiveFor)) {
           world.Host(0).worker_.mute_ = false;
         }
       }
       cr_assert_leq(StartedAfter(world, cancelledAt).count(),
                     kCancelBound.count(),
-                    "cancelled %d ms after the leader was lost, worker mute "
-                    "for %d ms",
+                    "cancelled %d ms after the leader was lost, worker "
+                    "unresponsive for %d ms",
                     cancelledAfter,
-                    muteFor);
+                    unresponsiveFor);
     }
   }
 }
 
-// A leader on a host with too little processor time is seconds behind: it
-// reads a cancellation long after its caller was told, and meanwhile starts the
-// job's tasks as room comes free. However far behind it is, what it starts it
-// must have known of to be wanted not long before.
-Test(CancelledJob, LeaderThatIsBehindStartsNothingOfIt)
+// Guards against starts by a leader that lags seconds behind the table, for
+// instance for lack of CPU time. It reads a cancellation long after the
+// acknowledgement and meanwhile starts tasks of the job as capacity becomes
+// free. Its starts must expire by the time up to which its view of the table is
+// current.
+Test(CancelledJob, LaggingLeaderStartsNoCancelledTask)
 {
   for (int lag = 500; lag <= 8000; lag += 500) {
-    for (int roomAfter = 500; roomAfter <= 8000; roomAfter += 500) {
-      FleetWorld world = RestingWorld();
-      world.Host(0).worker_.taskTime_ = Millis(roomAfter);
+    for (int capacityAfter = 500; capacityAfter <= 8000; capacityAfter += 500) {
+      FleetWorld world = IdleWorld();
+      world.Host(0).worker_.taskTime_ = Millis(capacityAfter);
       world.Submit(MakeJob("first", 1, 1000));
       world.Run(Millis(100));
       world.Submit(MakeJob("a", 1, 1000));
@@ -90,20 +96,20 @@
       world.Run(Millis(9000));
       cr_assert_leq(StartedAfter(world, cancelledAt).count(),
                     kCancelBound.count(),
-                    "leader %d ms behind, room after %d ms",
+                    "leader lag %d ms, room after %d ms",
                     lag,
-                    roomAfter);
+                    capacityAfter);
     }
   }
 }
 
-// Orders are held up on their way: in the kernel of a host that is choked, or
-// by a cut that heals before the connection ends. They arrive seconds later,
-// when the job that they start a task of has been cancelled.
-Test(CancelledJob, OrderThatArrivesLateIsNotCarriedOut)
+// Guards against orders that arrive seconds late, after the cancellation of the
+// job: delayed in the kernel of an overloaded host, or by a cut that heals
+// before the connection ends.
+Test(CancelledJob, LateOrderIsNotCarriedOut)
 {
   for (int delay = 200; delay <= 8000; delay += 200) {
-    FleetWorld world = RestingWorld();
+    FleetWorld world = IdleWorld();
     world.orderDelay_ = Millis(delay);
     world.Submit(MakeJob("a", 1, 1000));
     world.Run(Millis(50));
@@ -117,13 +123,13 @@
   }
 }
 
-// What guards against late starts must not end work: a worker that is mute for
-// a while, a leader that is behind and orders that are late delay a job that
-// nobody cancelled, and it still runs, once.
-Test(CancelledJob, JobThatNobodyCancelledRunsOnceAllTheSame)
+// The protection against late starts must not end valid work: an unresponsive
+// worker, a lagging leader and late orders delay a job that is not cancelled,
+// but the job still runs exactly once.
+Test(CancelledJob, JobThatIsNotCancelledRunsOnce)
 {
   for (int trouble = 500; trouble <= 6000; trouble += 500) {
-    FleetWorld world = RestingWorld();
+    FleetWorld world = IdleWorld();
     world.Host(0).worker_.mute_ = true;
     world.leaderLag_ = Millis(trouble);
     world.orderDelay_ = Millis(trouble / 4);
@@ -134,7 +140,7 @@
     world.orderDelay_ = Millis(0);
     world.Run(Millis(12000));
     cr_assert_eq(
-      world.StateOf("a"), JobState::Completed, "trouble of %d ms", trouble);
+      world.StateOf("a"), JobState::Completed, "faults for %d ms", trouble);
     cr_assert_eq(world.MostRunsAtOnce(), 1);
   }
 }
--- a/Tests/Fleet/FleetHarmTest.cxx
+++ b/Tests/Fleet/FleetHarmTest.cxx
@@ -4,9 +4,9 @@
 
 using namespace cactusrail;
 
-// A batch task beside a watcher makes its answers ten times as slow. Its users
-// count four seconds of that as harm: before that the batch must stand still.
-Test(FleetHarm, BackfillThatDisturbsStandsStillWithinTwoSeconds)
+// A batch task makes a watcher's answers ten times slower. Users count four
+// seconds of that as harm, so the batch task must be paused earlier.
+Test(FleetHarm, HarmfulBackfillIsPausedWithinTwoSeconds)
 {
   HarmBench bench;
   bench.scheduler_.OnJobStored(HarmBench::Serving(), bench.now_);
@@ -22,10 +22,11 @@
     }));
 }
 
-// A watcher's answers climb to six times their objective within a second of a
-// batch's start. Heard of once a second, that is acted on too late: its side
-// watches closely, beside backfill or not, so that the load is known before.
-Test(FleetHarm, SideOfAWorkerThatServesWatchesClosely)
+// A watcher's latency rises to six times its objective within a second of a
+// batch task's start, and reports once a second would be too late. The side of
+// a serving worker reports at high frequency with or without backfill, so that
+// the load is known in advance.
+Test(FleetHarm, SideOfAServingWorkerReportsAtHighFrequency)
 {
   HarmBench bench;
   bench.Run(Millis(2500));
@@ -39,10 +40,10 @@
   cr_assert_eq(bench.watchMicros_, 0);
 }
 
-// Backfill that is harmless one task at a time, and over the objective all the
-// same for another cause: it pauses, and goes on once the watcher has
-// recovered.
-Test(FleetHarm, BackfillPausesWhateverTheCauseAndGoesOn)
+// The latency exceeds its objective for a cause other than backfill, which is
+// harmless one task at a time: backfill pauses anyway and resumes once the
+// watcher has recovered.
+Test(FleetHarm, BackfillPausesForOtherCausesAndResumes)
 {
   HarmBench bench;
   bench.scheduler_.OnJobStored(HarmBench::Serving(), bench.now_);
@@ -59,10 +60,11 @@
   cr_assert_eq(bench.paces_.back().percent_, 100);
 }
 
-// A batch whose image is known to disturb the only worker's watcher, at a tenth
-// of its speed already, waited for ever with a third of the processors idle. It
-// runs slowly instead.
-Test(FleetHarm, BackfillThatWouldDisturbEverywhereRunsSlowly)
+// Guards against a batch job that never starts because its image is known to
+// disturb the only worker's watcher even at a tenth of its speed: it waited
+// forever with a third of the processors idle. It must run at a low pace
+// instead.
+Test(FleetHarm, BackfillThatDisturbsOnAllWorkersRunsSlowly)
 {
   HarmBench bench;
   bench.scheduler_.OnJobStored(HarmBench::Serving(), bench.now_);
@@ -78,9 +80,9 @@
   cr_assert(bench.stops_.empty());
 }
 
-// A new leader takes up what the last one learned: users are not disturbed to
-// learn it again.
-Test(FleetHarm, WhatWasLearnedOutlivesTheLeader)
+// A new leader takes over what the previous leader learned, so that users are
+// not disturbed by relearning.
+Test(FleetHarm, LearnedInterferenceSurvivesALeaderChange)
 {
   HarmBench first;
   ContentionModel& known = first.scheduler_.Interference().Model();
@@ -95,11 +97,12 @@
   cr_assert_not(fit.harmless_);
 }
 
-// Eight batch tasks are placed in one pass, before the first report. Each alone
-// would be borne: at full speed until then, all together made the watcher's
-// answers ten times as slow. Those for which not all of the room is left start
-// at a lower pace.
-Test(FleetHarm, TasksThatStartTogetherStartAtThePaceThatIsBorne)
+// Guards against interference by tasks that start together: eight batch tasks
+// are placed in one pass before the first report. Each alone is harmless, but
+// at full speed until that report all together made the watcher's answers ten
+// times slower. Tasks that exceed the remaining load limit must start at a
+// lower pace.
+Test(FleetHarm, TasksThatStartTogetherStayWithinTheLoadLimit)
 {
   for (const double cost : { 0.04, 0.045, 0.05, 0.055, 0.06, 0.065 }) {
     HarmBench bench;
--- a/Tests/Fleet/LastingTaskTest.cxx
+++ b/Tests/Fleet/LastingTaskTest.cxx
@@ -11,9 +11,11 @@
 
 namespace {
 
-/** Users allow a task that lasts to be away for so long after a run of it has
- * ended, where there is room for it. */
-constexpr Millis kMostAway{ 6000 };
+/**
+ * Longest downtime of a long-running task after the end of a run that users
+ * accept, where there is capacity for the task.
+ */
+constexpr Millis kMaxDowntime{ 6000 };
 
 constexpr const char* kWatched = "watch.0.0.0";
 
@@ -35,7 +37,7 @@
   return job;
 }
 
-/** Callers hand in more quotes than there is room for. */
+/** Fleet for which callers submit more quotes than it has capacity for. */
 class BusyFleet
 {
 public:
@@ -50,7 +52,7 @@
     }
   }
 
-  /** So many quotes a second, one after another. */
+  /** Submits aQuotesASecond quotes per second at regular intervals. */
   void Run(Millis aFor, int aQuotesASecond)
   {
     const Millis apart(1000 / aQuotesASecond);
@@ -61,14 +63,17 @@
     }
   }
 
-  /** Fills two hosts with feeds and quotes; one feed's only task fails. */
-  void FailWatcherAfter(Millis aFor)
+  /**
+   * Fills two hosts with long-running tasks and quotes; then fails the only
+   * task of one long-running job.
+   */
+  void FillAndFailWatcher(Millis aFor)
   {
     world_.Submit(Watcher("watch", 1, 8000));
     world_.Submit(Watcher("other", 4, 8000));
     world_.Run(Millis(300));
     Run(aFor, 40);
-    world_.Host(HostOf(kWatched)).worker_.Fail(kWatched);
+    world_.Host(HostOf(kWatched)).worker_.FailRun(kWatched);
   }
 
   std::size_t HostOf(const std::string& aTask)
@@ -86,14 +91,14 @@
 
 }
 
-// A tracking feed fails by itself, as one does now and then, in a fleet that is
-// full: callers' quotes take each gap that opens, and the feed goes behind
-// them. It was away for as long as the fleet was full: 14 s in the log,
-// run-failed at 20.8 s and run-ordered at 34.8 s, with 400 of 5440 processors
-// in use by quotes all the while and 121 freed by another feed's end.
-// One process a moment: each takes half a minute of sanitizers.
-ParameterizedTestParameters(LastingTask,
-                            IsBackWithinSecondsThoughUrgentWorkTakesEachGap)
+// Guards against a long downtime of a failed tracking feed in a full fleet,
+// where callers' quotes take all capacity that becomes free. In one log the
+// feed was down from run-failed at 20.8 s to run-ordered at 34.8 s, 14 s, as
+// long as the fleet was full. Quotes used 400 of 5440 processors all the time,
+// and 121 became free when another feed ended.
+// One process per time of failure, because each takes half a minute under
+// sanitizers.
+ParameterizedTestParameters(LastingTask, RestartsWithinSecondsUnderUrgentLoad)
 {
   static std::array<int, 8> waits{ 0, 80, 160, 240, 320, 400, 480, 560 };
   return cr_make_param_array(int, waits.data(), waits.size());
@@ -101,21 +106,21 @@
 
 ParameterizedTest(const int* aWait,
                   LastingTask,
-                  IsBackWithinSecondsThoughUrgentWorkTakesEachGap)
+                  RestartsWithinSecondsUnderUrgentLoad)
 {
   BusyFleet fleet(2, 64000);
-  fleet.FailWatcherAfter(Millis(4000 + *aWait));
+  fleet.FillAndFailWatcher(Millis(4000 + *aWait));
   const Instant failedAt = fleet.world_.Now();
-  fleet.Run(kMostAway, 40);
+  fleet.Run(kMaxDowntime, 40);
   cr_assert(fleet.world_.LastStart(kWatched) > failedAt,
-            "failed after %d ms, not back",
+            "failed after %d ms, did not restart",
             4000 + *aWait);
 }
 
-// The same while the leader changes: the next one knows of the feed what the
-// table says, and not when its last run ended.
+// The same during a change of the leader. The next leader knows the feed only
+// from the table, which does not hold the end of its last run.
 ParameterizedTestParameters(LastingTask,
-                            IsBackWithinSecondsAfterAChangeOfLeader)
+                            RestartsWithinSecondsAfterALeaderChange)
 {
   static std::array<int, 4> waits{ 0, 160, 320, 480 };
   return cr_make_param_array(int, waits.data(), waits.size());
@@ -123,23 +128,24 @@
 
 ParameterizedTest(const int* aWait,
                   LastingTask,
-                  IsBackWithinSecondsAfterAChangeOfLeader)
+                  RestartsWithinSecondsAfterALeaderChange)
 {
   BusyFleet fleet(2, 64000);
-  fleet.FailWatcherAfter(Millis(4000 + *aWait));
+  fleet.FillAndFailWatcher(Millis(4000 + *aWait));
   fleet.Run(Millis(50), 40);
   const Instant changedAt = fleet.world_.Now();
   fleet.world_.ChangeLeader();
-  fleet.Run(kMostAway, 40);
+  fleet.Run(kMaxDowntime, 40);
   cr_assert(fleet.world_.LastStart(kWatched) > changedAt,
-            "failed after %d ms, not back",
+            "failed after %d ms, did not restart",
             4000 + *aWait);
 }
 
-// Feeds hold nearly all of a fleet, and a worker of it crashes. If its feeds
-// took the room that is left for quotes, no caller would get one until feeds
-// end: of each worker short work keeps at least as much as a feed takes.
-Test(LastingTask, TakesNoRoomThatUrgentWorkCannotSpare)
+// Guards against starvation of quotes after a worker crashes in a fleet that is
+// nearly full of feeds: if the feeds of that worker took the capacity that is
+// left for quotes, no caller would get one until feeds end. Short work keeps at
+// least as much of each worker as a feed takes.
+Test(LastingTask, LeavesCapacityForUrgentWork)
 {
   BusyFleet fleet(4, 16000);
   fleet.world_.Submit(Watcher("watch", 1, 8000));
@@ -150,20 +156,20 @@
   fleet.world_.Host(crashed).worker_.gone_ = true;
   fleet.world_.Host(crashed).worker_.runs_.clear();
   fleet.world_.Cut(crashed, true);
-  // Long enough for the crashed worker to be given up.
+  // Long enough for the crashed worker to be abandoned.
   fleet.Run(Millis(20000), 4);
-  constexpr int kLast = 12;
+  constexpr int kCheckedQuotes = 12;
   int served = 0;
-  for (int i = fleet.next_ - kLast; i < fleet.next_; ++i) {
+  for (int i = fleet.next_ - kCheckedQuotes; i < fleet.next_; ++i) {
     const JobState state = fleet.world_.StateOf("quote" + std::to_string(i));
     served += state == JobState::Completed || state == JobState::Running;
   }
-  cr_assert_eq(served, kLast);
+  cr_assert_eq(served, kCheckedQuotes);
 }
 
 namespace {
 
-/** A fleet that one job fills; more tasks of it than there is room for. */
+/** Fleet that is filled by one job, with more tasks than fit. */
 class CrowdedFleet
 {
 public:
@@ -183,7 +189,7 @@
     return world_.Host(0).worker_.RunsOf(aTask) > 0 ? 0 : 1;
   }
 
-  /** How many tasks of the job run now. */
+  /** Number of tasks of the job that run now. */
   std::size_t Running()
   {
     return world_.Host(0).worker_.runs_.size() +
@@ -195,9 +201,9 @@
 
 }
 
-// Guards against a task of the same job that never ran and takes the room of
-// one that failed while that one pauses.
-ParameterizedTestParameters(LastingTask, KeepsItsRoomFromTasksThatNeverRan)
+// Guards against a task of the same job that never ran and takes the resources
+// of a failed task during its restart backoff.
+ParameterizedTestParameters(LastingTask, ReservationExcludesTasksThatNeverRan)
 {
   static std::array<int, 4> failures{ 1, 2, 5, 12 };
   return cr_make_param_array(int, failures.data(), failures.size());
@@ -205,11 +211,12 @@
 
 ParameterizedTest(const int* aFailures,
                   LastingTask,
-                  KeepsItsRoomFromTasksThatNeverRan)
+                  ReservationExcludesTasksThatNeverRan)
 {
   CrowdedFleet fleet;
   for (int i = 0; i < *aFailures; ++i) {
-    fleet.world_.Host(fleet.HostOf("watch.0.0.1")).worker_.Fail("watch.0.0.1");
+    fleet.world_.Host(fleet.HostOf("watch.0.0.1"))
+      .worker_.FailRun("watch.0.0.1");
     fleet.world_.Run(Millis(1500));
     cr_assert_eq(fleet.world_.Starts("watch.0.0.1"),
                  static_cast<std::size_t>(i) + 2);
@@ -219,22 +226,22 @@
   cr_assert_eq(fleet.Running(), 4);
 }
 
-// Guards against callers' work that takes the room of a task that failed while
-// that one pauses.
-Test(LastingTask, KeepsItsRoomFromUrgentWork)
+// Guards against callers' work that takes the resources of a failed task during
+// its restart backoff.
+Test(LastingTask, ReservationExcludesUrgentWork)
 {
   BusyFleet fleet(2, 64000);
-  fleet.FailWatcherAfter(Millis(4000));
+  fleet.FillAndFailWatcher(Millis(4000));
   const Instant failedAt = fleet.world_.Now();
   fleet.Run(Millis(1000), 40);
   cr_assert(fleet.world_.LastStart(kWatched) > failedAt);
 }
 
-// Guards against room that stays kept for a task that needs none any more.
-Test(LastingTask, RoomOfACancelledJobIsFreeAtOnce)
+// Guards against a reservation for a task that no longer needs it.
+Test(LastingTask, CancellationReleasesTheReservation)
 {
   CrowdedFleet fleet;
-  fleet.world_.Host(fleet.HostOf("watch.0.0.1")).worker_.Fail("watch.0.0.1");
+  fleet.world_.Host(fleet.HostOf("watch.0.0.1")).worker_.FailRun("watch.0.0.1");
   fleet.world_.Run(Millis(50));
   fleet.world_.Cancel("watch");
   fleet.world_.Submit(MakeJob("quote", 4, 8000));
@@ -242,9 +249,9 @@
   cr_assert_eq(fleet.Running(), 4);
 }
 
-// Guards against tasks that never ran and start along with those of their job
-// that come back, before those of a younger job have.
-Test(LastingTask, GoesBeforeTasksThatNeverRanOfAJobThatComesBackToo)
+// Guards against tasks that never ran and start together with restarting tasks
+// of their job, before the restarting tasks of a younger job.
+Test(LastingTask, PrecedesNewTasksOfAnOlderRestartingJob)
 {
   FleetWorld world(2, { 16000, 512000, 0 });
   world.Run(Millis(1500));
@@ -268,9 +275,9 @@
   cr_assert_eq(world.Starts("watch.0.0.3"), 0);
 }
 
-// Guards against tasks that never ran, of an older job, and that take the room
-// of those that lost theirs with their worker.
-Test(LastingTask, GoesBeforeTasksThatNeverRan)
+// Guards against tasks of an older job that never ran and take the resources of
+// tasks that lost theirs in a crash of their worker.
+Test(LastingTask, PrecedesNewTasksOfAnOlderJob)
 {
   FleetWorld world(3, { 16000, 512000, 0 });
   world.Host(0).labels_ = { "fast" };
