--- a/Source/Process/FleetJob.h
+++ b/Source/Process/FleetJob.h
@@ -13,13 +13,14 @@
 
 namespace cactusrail {
 
-/** What the scheduler knows of one run of a task. */
+/** State of one run of a task, as known to the scheduler. */
 enum class RunPhase : std::uint8_t
 {
-  /** Its order is on the way; it may run already. */
+  /** The start order is in flight; the run may have started already. */
   Ordered,
   Running,
-  /** It has been told to stop; its room is taken until its end is listed. */
+  /** The stop order was sent; the resources stay in use until the worker
+   * reports the end. */
   Stopping,
 };
 
@@ -29,25 +30,27 @@
   std::uint32_t run_ = 0;
   std::string node_;
   RunPhase phase_ = RunPhase::Ordered;
-  /** The orders on that worker's link that carried its start. */
+  /** Sequence number, on the worker's link, of the orders that carried the
+   * start. */
   std::uint64_t orderSequence_ = 0;
   Instant startedAt_;
-  /** Work done when it was first reported, 0 to 100. */
+  /** Progress in the first report, in percent. */
   std::uint32_t firstPercent_ = 0;
   std::uint32_t percent_ = 0;
-  /** When percent_ last rose. */
+  /** Time at which percent_ last rose. */
   Instant progressAt_;
   Instant firstReportAt_;
   bool reported_ = false;
   std::uint32_t pace_ = 100;
-  /** It worked at a lower pace at some time, which says nothing of its worker.
-   */
+  /** The run was throttled at some time, so its duration is no measure of the
+   * worker's speed. */
   bool everPaced_ = false;
-  /** Its job found no good place; it works on at a low pace at least. */
+  /** The job found no suitable worker for a long time; the run keeps at least a
+   * low pace. */
   bool starving_ = false;
-  /** Since when it has worked at a low pace. */
+  /** Start of the current period at a low pace. */
   std::optional<Instant> slowSince_;
-  /** As reported: tail latency in ms, or thousandths of a core in use. */
+  /** As reported: tail latency in ms, or CPU use in thousandths of a core. */
   std::uint32_t measure_ = 0;
 };
 
@@ -55,27 +58,30 @@
 struct FleetTask
 {
   bool done_ = false;
-  /** Runs that ended as failed; each is counted once. */
+  /** Numbers of the failed runs; each run is counted once. */
   std::vector<std::uint32_t> failedRuns_;
-  /** Where the next run resumes; empty for the start. */
+  /** Checkpoint from which the next run resumes; empty to start from the
+   * beginning. */
   std::string checkpoint_;
-  /** One, or several where copies are allowed. */
+  /** Current runs; more than one only where duplicate runs are allowed. */
   std::vector<TaskRun> runs_;
-  /** Highest run number given out or seen. */
+  /** Highest run number assigned or reported. */
   std::uint32_t lastRun_ = 0;
-  /** Workers that failed it or stalled; others are tried first. */
+  /** Workers on which the task failed or stalled; other workers are
+   * preferred. */
   std::vector<std::string> avoid_;
-  /** Times it was moved away from a worker that was slow or stood still. */
+  /** Number of times the task was moved off a slow or stalled worker. */
   std::uint32_t moves_ = 0;
-  /** Failures of a long-running task. */
+  /** Number of failures of a long-running task, from which the restart backoff
+   * follows. */
   std::uint32_t quickFailures_ = 0;
   Instant notBefore_;
-  /** When its last run ended or was given up; none if it had none, as far as
-   * this leader knows. */
+  /** Time at which the last run ended or was abandoned; none if this leader has
+   * seen no run of the task. */
   std::optional<Instant> endedAt_;
-  /** The worker that keeps room for its next run; empty for none. */
+  /** Worker with a reservation for the next run; empty for none. */
   std::string keptOn_;
-  /** The log says no sooner what it waits for. */
+  /** Earliest time at which the log reports again why the task waits. */
   Instant nextWaitNote_;
 
   bool Waits() const { return !done_ && runs_.empty(); }
@@ -89,17 +95,17 @@
   std::uint32_t index_ = 0;
   std::vector<FleetTask> tasks_;
   std::size_t done_ = 0;
-  /** What its tasks took so far, for those that ended well. */
+  /** Total duration of the tasks that succeeded, in microseconds. */
   double micros_ = 0;
   std::size_t timed_ = 0;
-  /** All steps before it are done. */
+  /** All preceding steps are done. */
   bool open_ = false;
   Instant openedAt_;
 
   bool AllDone() const { return done_ == tasks_.size(); }
 };
 
-/** One run through all steps of a job. */
+/** One execution of all steps of a job. */
 struct FleetOccurrence
 {
   std::vector<FleetStep> steps_;
@@ -107,26 +113,28 @@
 };
 
 /**
- * One job as the scheduler sees it: its tasks, which may start, what became of
- * them. Knows nothing of workers. Owned by FleetScheduler. Pure.
+ * Scheduling state of one job: its tasks, the steps that are ready to start,
+ * and the results. Independent of workers. Owned by FleetScheduler. Pure.
  *
  * A job goes from open to exactly one final state: completed when all tasks of
- * all occurrences ended well, failed when one task used up its attempts,
- * cancelled when its caller said so.
+ * all occurrences succeeded, failed when one task used up its attempts,
+ * cancelled at the caller's request.
  */
 class FleetJob
 {
 public:
   FleetJob(JobDescription aSpec, std::uint32_t aFirstRun);
 
-  /** Takes up what a scheduler before this one stored. */
+  /** Restores the progress that a previous scheduler stored. */
   void Restore(const JobProgress& aProgress, Instant aNow);
 
-  /** Begins the occurrences that are due by the wall clock. */
+  /** Begins the occurrences that are due by the wall clock, in ms since
+   * 1970. */
   void BeginDue(std::int64_t aWallMs, Instant aNow);
-  /** How many have begun. */
+  /** Number of occurrences that have begun. */
   std::uint32_t Begun() const { return nextOccurrence_; }
-  /** When the next one is due, in ms since 1970; none if all have begun. */
+  /** Time at which the next occurrence is due, in ms since 1970; none if all
+   * have begun. */
   std::optional<std::int64_t> NextDue() const;
 
   FleetStep* FindStep(std::uint32_t aOccurrence, std::uint32_t aStep);
@@ -140,17 +148,20 @@
     return occurrences_;
   }
 
-  /** The number of the next run of a task; rises over all schedulers. */
+  /** Returns the number of the next run of a task. Numbers increase across all
+   * schedulers. */
   std::uint32_t NextRun(FleetTask& aTask) const;
 
-  /** A run ended well; true if the task was not done before. */
+  /** Handles the success of a run; returns true if the task was not done
+   * before. */
   bool OnDone(FleetStep& aStep, FleetTask& aTask, Instant aNow);
-  /** A run failed; true if it was not counted before. */
+  /** Handles the failure of a run; returns true if the failure was not counted
+   * before. */
   static bool OnFailed(FleetTask& aTask, std::uint32_t aRun);
 
-  /** All tasks of all occurrences ended well. */
+  /** Whether all tasks of all occurrences succeeded. */
   bool AllDone() const;
-  /** Forgets occurrences that are done, first ones first. */
+  /** Removes completed occurrences, up to the first one that is not done. */
   void ForgetDone();
 
   void Finish(JobState aState, std::int64_t aWallMs);
@@ -158,19 +169,19 @@
   bool IsOver() const { return IsFinal(state_); }
   std::int64_t EndedAtMs() const { return endedAtMs_; }
 
-  /** None of its tasks has a run. */
+  /** Whether no task has a run. */
   bool Idle() const;
 
-  /** Some task was started once. */
+  /** Whether any task was ever started. */
   bool EverStarted() const { return everStarted_; }
   void SetStarted() { everStarted_ = true; }
 
   const JobDescription& Spec() const { return spec_; }
 
-  /** What must be stored. */
+  /** Returns the progress to be stored. */
   JobProgress Progress() const;
 
-  /** Frees what a final job needs no more. */
+  /** Frees the payload, which a job in a final state no longer needs. */
   void Shrink();
 
 private:
@@ -186,7 +197,7 @@
   JobState state_ = JobState::Pending;
   std::int64_t endedAtMs_ = 0;
   bool everStarted_ = false;
-  /** All occurrences before this one are done and forgotten. */
+  /** All occurrences before this number are done and removed. */
   std::uint32_t occurrencesDone_ = 0;
   std::uint32_t nextOccurrence_ = 0;
   std::map<std::uint32_t, FleetOccurrence> occurrences_;
--- a/Source/Process/FleetWorker.h
+++ b/Source/Process/FleetWorker.h
@@ -16,117 +16,125 @@
 
 namespace cactusrail {
 
-/** Room that a task takes of its worker. */
+/** Resources that a task uses on its worker. */
 struct TaskRoom
 {
   FleetRoom room_;
-  /** Its processors are what others leave; not part of room_. */
+  /** CPU request of a backfill task, in thousandths of a processor. Backfill
+   * uses what other tasks leave over, so the request is not part of room_. */
   std::int64_t backfillCpuMilli_ = 0;
-  /** It serves its own users and has a latency objective. */
+  /** The task serves users of its own and has a latency objective. */
   bool serves_ = false;
-  /** It runs until it is cancelled. */
+  /** The task is long-running: it runs until it is cancelled. */
   bool lasts_ = false;
-  /** Work of a more urgent priority may take its place. */
+  /** Work of a more urgent priority may preempt the task. */
   bool preemptible_ = false;
   std::int64_t priority_ = 0;
-  /** What it runs. */
   std::string image_;
-  /** Its job. */
   std::string job_;
 };
 
-/** Room that a failed run left, for its task's next run. */
+/** Reservation of a failed run's resources for the next run of its task. */
 struct KeptRoom
 {
   TaskRoom room_;
   Instant until_;
 };
 
-/** An end that the worker lists until what it changed is stored. */
+/** End of a run that the worker keeps reporting until the resulting changes are
+ * stored. */
 struct UnstoredEnd
 {
   std::uint64_t number_ = 0;
-  /** The batch of changes that holds it; 0 if nothing had to be stored. */
+  /** Batch of changes that contains the end; 0 if nothing had to be stored. */
   std::uint64_t batch_ = 0;
 };
 
-/** A worker and the side next to it, as the entry that leads sees them. */
+/** A worker and the side next to it, as known to the leading entry. */
 struct FleetWorker
 {
   /** The side's process name. */
   std::string node_;
   WorkerDescription facts_;
-  /** A link stands, and its first report has been taken in. */
+  /** A link is established and its first report has been applied. */
   bool synced_ = false;
   bool linked_ = false;
-  /** Its side's row is in the table, so a next leader will ask it too. */
+  /** The side's row is in the table, so the next leader will query the side
+   * too. */
   bool registered_ = false;
-  /** Work from before this leader may run there until it has reported. */
+  /** Work of a previous leader may still run there; cleared by the first
+   * report. */
   bool suspect_ = false;
-  /** Its last report said that no worker is there. */
+  /** The last report showed neither a worker nor runs. */
   bool left_ = false;
-  /** The side's clock in its last report; echoed. */
+  /** Side's clock in its last report; echoed with the orders. */
   std::uint64_t echoMicros_ = 0;
-  /** When that report was taken in, by the leader's clock. */
+  /** Time at which that report was applied, by the leader's clock. */
   Instant reportedAt_;
-  /** Orders sent on this link. */
+  /** Number of orders sent on this link. */
   std::uint64_t ordersSent_ = 0;
-  /** When the last orders were sent; they renew the side's authority. */
+  /** Time at which the last orders were sent; orders renew the side's
+   * authority. */
   Instant grantedAt_;
-  /** When the link was lost. */
+  /** Time at which the link was lost. */
   Instant lostAt_;
   Instant drainingSince_;
-  /** Ends up to this one have been taken in. */
+  /** Number of the last end that was applied. */
   std::uint64_t endsSeen_ = 0;
   std::uint64_t endsStored_ = 0;
   /** Whether endsStored_ rose since the last orders. */
   bool acknowledgementDue_ = false;
   std::deque<UnstoredEnd> unstored_;
-  /** By task name and run. */
+  /** Resources in use, by task name and run. */
   std::map<std::pair<std::string, std::uint32_t>, TaskRoom> held_;
-  /** By task name; counted as in use, so that nothing else takes it. */
+  /** Reservations by task name; counted as in use, so that no other task gets
+   * the capacity. */
   std::map<std::string, KeptRoom> kept_;
-  /** Runs that nothing is known of; told to stop. Their room is unknown, so
-   * nothing starts there until they are gone. */
+  /** Unknown runs, which have been ordered to stop. Their resources are
+   * unknown, so nothing starts on the worker until they have ended. */
   std::set<std::pair<std::string, std::uint32_t>> strangers_;
   FleetRoom used_;
-  /** The part of used_ that long-running tasks hold. */
+  /** Part of used_ that belongs to long-running tasks. */
   FleetRoom lasting_;
-  /** The part of used_ that can be preempted, by priority. */
+  /** Part of used_ that can be preempted, by priority. */
   std::map<std::int64_t, FleetRoom> preemptible_;
   std::int64_t backfillCpuMilli_ = 0;
   std::uint32_t serving_ = 0;
-  /** It refused for want of room; tried again after this. */
+  /** End of the backoff after the worker refused a task for lack of
+   * resources. */
   Instant fullUntil_;
-  /** Stood still or far too slow: nothing new until then. */
+  /** End of the period without new tasks after the worker stalled or was far
+   * too slow. */
   Instant avoidUntil_;
-  /** How much longer work takes here than elsewhere; smoothed. */
+  /** Smoothed ratio of task durations here to those on other workers. */
   double slowness_ = 1;
-  /** When what was last reported of its runs was measured. */
+  /** Time at which the last reported figures of the runs were measured. */
   Instant measuredAt_;
-  /** Since when a task that serves has been over its objective. */
+  /** Start of the period in which each serving task has exceeded its
+   * objective. */
   std::map<std::string, Instant> overSince_;
-  /** Its side reports each figure; see WatchClosely(). */
+  /** High-frequency reporting is on; see FleetScheduler::WatchClosely(). */
   bool watched_ = false;
-  /** Backfill stands still until the tasks that serve have recovered. */
+  /** Backfill is paused until the serving tasks have recovered. */
   bool backfillPaused_ = false;
-  /** Tasks that serve there, as last reported. */
+  /** Serving tasks on the worker, as last reported. */
   std::vector<ServingSample> servingSamples_;
-  /** Worst tail latency over its objective among them. */
+  /** Highest ratio of tail latency to objective among the serving tasks. */
   double pressure_ = 0;
-  /** Processors that backfill used over those that it asked for. */
+  /** Ratio of the CPU that backfill used to the CPU that it requested. */
   double backfillShare_ = 1;
-  /** Processors declared by tasks that serve; they use a part of them. */
+  /** CPU declared by serving tasks, of which they use only a part. */
   std::int64_t servingCpuMilli_ = 0;
-  /** Tasks that serve there: how many of each job and image. */
+  /** Number of serving tasks by job and image. */
   std::map<ServingGroup, std::uint32_t> servingGroups_;
-  /** Images of backfill there, and what processors its tasks may use, in
-   * thousandths. */
+  /** CPU that backfill tasks may use, by image, in thousandths of a
+   * processor. */
   std::map<std::string, std::int64_t> backfillImages_;
-  /** How backfill of an image would do there, as last worked out; empty after
-   * each change. */
+  /** Cached fit of one more backfill task, by image; cleared on each change of
+   * the tasks on the worker. */
   std::map<std::string, BackfillFit, std::less<>> fits_;
-  /** A backfill task whose effect there is not known started then. */
+  /** Time at which the last backfill task of unknown effect on the serving
+   * tasks started. */
   Instant triedAt_;
 
   FleetRoom Free() const
@@ -136,7 +144,7 @@
              facts_.room_.accelerators_ - used_.accelerators_ };
   }
 
-  /** What would be free without all that work of this priority may preempt. */
+  /** Free resources if all work that this priority may preempt had ended. */
   FleetRoom FreeWithout(std::int64_t aPriority) const
   {
     FleetRoom room = Free();
@@ -148,7 +156,7 @@
     return room;
   }
 
-  /** Processors as tenths of all that the worker has. */
+  /** CPU as a multiple of a tenth of the worker's processors. */
   double TenthsOf(std::int64_t aCpuMilli) const
   {
     return facts_.room_.cpuMilli_ <= 0
@@ -182,8 +190,8 @@
     }
   }
 
-  /** Ends the keeping of room for a task; what was kept, none if nothing was.
-   */
+  /** Removes the reservation of a task and returns it; none if there was
+   * none. */
   std::optional<KeptRoom> TakeKept(const std::string& aTask)
   {
     const auto found = kept_.find(aTask);
--- a/Source/Process/JobIntake.h
+++ b/Source/Process/JobIntake.h
@@ -20,24 +20,25 @@
 
 namespace cactusrail {
 
-/** What became of something that a caller wants stored. */
+/** Outcome of a write that a caller requested. */
 enum class IntakeOutcome : std::uint8_t
 {
   Stored,
-  /** Surely not, and it never will be. */
+  /** The write had no effect and will have none. */
   NotStored,
-  /** It may be stored, now or seconds later. */
+  /** The outcome is unknown: the write may have taken effect, or may take
+   * effect seconds later. */
   InDoubt,
 };
 
 /**
- * Stores jobs and cancellations before callers are told so. Writes of one part
- * that arrive while another is under way go together in one transaction. Owned
- * by the entry's process; lives in its thread.
+ * Stores jobs and cancellations before callers get their answer. Writes to one
+ * part that arrive while a transaction is in flight are combined in the next
+ * one. Owned by the entry's process; lives in its thread.
  *
- * Each write puts the same bytes under the same key, so one that had no answer
- * is repeated until its deadline; only a write that was never in doubt is ever
- * reported as not stored.
+ * Each write puts the same bytes under the same key, so a write of unknown
+ * outcome is repeated until its deadline. A write is reported as not stored
+ * only if its outcome was never unknown.
  */
 template<RowStore Store>
 class JobIntake : public QObject
@@ -67,19 +68,20 @@
     Add(aJob, { CancelRowId(aJob), "1" }, aDeadline, std::move(aCallback));
   }
 
-  /** The last call to the table failed, not long ago. */
+  /** Whether the last call to the table failed less than kTrouble ago. */
   bool InTrouble() const { return ReadMonotonicClock() < troubledUntil_; }
 
-  /** When the table last took a write. */
+  /** Time of the last successful write to the table. */
   Instant AnsweredAt() const { return answeredAt_; }
 
 private:
-  /** A write that had no answer is tried again after this. */
+  /** Timeout of a write; an unanswered write is then repeated. */
   static constexpr Millis kCallTimeout{ 900 };
   static constexpr Millis kRetryPause{ 60 };
-  /** After a failure, others are asked to store for this long. */
+  /** Interval after a failure in which other entries are asked to store
+   * instead. */
   static constexpr Millis kTrouble{ 1000 };
-  /** The table takes 100 rows and 1 MB at once. */
+  /** Limits of one transaction; the table accepts 100 rows and 1 MB. */
   static constexpr std::size_t kMaxRows = 60;
   static constexpr std::size_t kMaxBytes = 600000;
 
--- a/Source/Process/JobOrder.cxx
+++ b/Source/Process/JobOrder.cxx
@@ -7,8 +7,8 @@
 
 namespace {
 
-/** A job is of use, late, up to so many times its objective; by the users'
- * platform. */
+/** Multiple of a job's objective up to which a late result is useful, as
+ * defined by the users' platform. */
 constexpr std::int64_t kOfUse = 3;
 
 }
--- a/Source/Process/JobOrder.h
+++ b/Source/Process/JobOrder.h
@@ -8,26 +8,27 @@
 
 namespace cactusrail {
 
-/** What its caller may still expect of a job. */
+/** Class of a job by the use of its result to the caller, in scheduling
+ * order. */
 enum class JobOutlook : std::uint8_t
 {
-  /** An answer can still be of use, in time or late. */
+  /** The result can still be useful, in time or late. */
   OfUse,
-  /** As Standing, and a task of it waits that ran before. */
+  /** Long-running job with a waiting task that ran before. */
   Returning,
-  /** It runs until it is cancelled. Ahead of urgent work, tasks that last would
-   * take each gap of a full fleet and keep it. */
+  /** Long-running job, which runs until it is cancelled. Placed before urgent
+   * work, long-running tasks would fill and keep each gap of a full fleet. */
   Standing,
-  /** It is over the time for which a late answer is of use. */
+  /** The time in which a late result is useful has passed. */
   Overdue,
 };
 
-/** Where a step of a job stands among work of one priority; lower goes first.
- */
+/** Scheduling rank of a job's steps among work of one priority; the lowest rank
+ * goes first. */
 struct JobRank
 {
   JobOutlook outlook_ = JobOutlook::OfUse;
-  /** In ms since 1970; within one outlook the earlier one goes first. */
+  /** Sort key within one outlook, in ms since 1970; the earliest goes first. */
   std::int64_t orderMs_ = 0;
 
   bool operator<(const JobRank& aOther) const
@@ -37,27 +38,29 @@
   }
 };
 
-/** Work on the longest chain of steps, in ms, if each takes what aMillis says.
- */
+/** Returns the duration of the longest chain of dependent steps, in ms. aMillis
+ * holds the duration of each step. */
 double
 ChainMillis(std::span<const StepSpec> aSteps, std::span<const double> aMillis);
 
 /** Times of one occurrence of a job. */
 struct JobTimes
 {
-  /** When it was accepted or due, in ms since 1970. */
+  /** Time at which the occurrence was accepted or due, in ms since 1970. */
   std::int64_t dueMs_ = 0;
-  /** Its longest chain of work, and what is left of it, in ms. */
+  /** Duration of the longest chain of steps and of its remaining part, in
+   * ms. */
   double chainMs_ = 0;
   double leftMs_ = 0;
 };
 
 /**
- * The rank of a job's waiting steps: by the latest start with which it ends in
- * time or, once that has passed, with which it is still of use late. Pure.
+ * Returns the rank of a job's waiting steps. The sort key is the latest start
+ * with which the job ends in time or, once that has passed, with which its late
+ * result is still useful. Pure.
  *
- * In order of arrival, a backlog would make every job late that comes after it,
- * though there is room for most of them.
+ * In order of arrival, a backlog would delay all later jobs beyond their
+ * objective, although there is capacity for most of them.
  */
 JobRank
 RankOf(const JobDescription& aJob, const JobTimes& aTimes, std::int64_t aNowMs);
--- a/Source/Process/PlacementMisses.cxx
+++ b/Source/Process/PlacementMisses.cxx
@@ -41,7 +41,8 @@
   const Miss wanted = MissOf(aJob, aStep);
   return std::any_of(
     misses_.begin(), misses_.end(), [&wanted](const Miss& aMiss) {
-      // A more urgent step may preempt more.
+      // A more urgent step may preempt more tasks, so a miss of a less urgent
+      // step does not cover it.
       return aMiss.backfill_ == wanted.backfill_ &&
              aMiss.priority_ <= wanted.priority_ &&
              aMiss.room_.cpuMilli_ <= wanted.room_.cpuMilli_ &&
--- a/Source/Process/PlacementMisses.h
+++ b/Source/Process/PlacementMisses.h
@@ -10,21 +10,22 @@
 namespace cactusrail {
 
 /**
- * The steps that found no worker in one pass of placing. A step that asks for
- * as much and more finds none either, as room only shrinks during a pass; a
- * backlog is refused without a look at each worker for each of its steps. Owned
- * by FleetScheduler. Pure.
+ * Steps that found no worker in one placement pass. Free capacity only shrinks
+ * during a pass, so a step that requests at least as much finds no worker
+ * either. A backlog is thus refused without a scan of all workers for each of
+ * its steps. Owned by FleetScheduler. Pure.
  */
 class PlacementMisses
 {
 public:
-  /** A new pass begins. */
+  /** Starts a new pass. */
   void Clear() { misses_.clear(); }
 
-  /** A task of the step found no worker. */
+  /** Records that a task of the step found no worker. */
   void Add(const JobDescription& aJob, const StepSpec& aStep);
 
-  /** Whether a task of the step surely finds none. */
+  /** Whether a recorded miss implies that a task of the step finds no
+   * worker. */
   bool Covers(const JobDescription& aJob, const StepSpec& aStep) const;
 
 private:
@@ -32,7 +33,8 @@
   {
     std::string service_;
     std::string label_;
-    /** Of backfill, whose worker depends on it; else empty. */
+    /** Image of backfill, on which the choice of a worker depends; else
+     * empty. */
     std::string image_;
     bool backfill_ = false;
     std::int64_t priority_ = 0;
@@ -40,7 +42,8 @@
   };
 
   static Miss MissOf(const JobDescription& aJob, const StepSpec& aStep);
-  /** Neither others of its step nor its own past decide on its worker. */
+  /** Whether the choice of a worker depends neither on other tasks of the step
+   * nor on earlier runs of the task. */
   static bool IsPlain(const StepSpec& aStep);
 
   std::vector<Miss> misses_;
--- a/Source/Process/RoomReservations.cxx
+++ b/Source/Process/RoomReservations.cxx
@@ -6,7 +6,8 @@
 
 namespace {
 
-/** Passes of placing are 10 to 50 ms apart, and longer on a choked host. */
+/** Lifetime of a reservation. Placement passes are 10 to 50 ms apart, and
+ * further apart on an overloaded host. */
 constexpr Millis kHolds{ 500 };
 
 }
--- a/Source/Process/RoomReservations.h
+++ b/Source/Process/RoomReservations.h
@@ -10,24 +10,24 @@
 namespace cactusrail {
 
 /**
- * Workers on which room is kept for a job until enough of it is free. Owned by
- * FleetScheduler. Pure.
+ * Reservations of workers for a job until enough of their capacity is free.
+ * Owned by FleetScheduler. Pure.
  *
- * A reservation lasts for a moment only and is renewed with each pass of
- * placing, so one whose job needs it no more is never left behind.
+ * A reservation expires after a short time and is renewed in each placement
+ * pass, so that none outlives the need of its job.
  */
 class RoomReservations
 {
 public:
-  /** Keeps a worker for a job until shortly after aNow. */
+  /** Reserves a worker for a job until shortly after aNow. */
   void Keep(const std::string& aNode, std::string_view aJob, Instant aNow);
 
-  /** Whether the worker is kept for another job than this one. */
+  /** Whether the worker is reserved for a job other than this one. */
   bool IsKeptFrom(std::string_view aJob,
                   std::string_view aNode,
                   Instant aNow) const;
 
-  /** The worker that is kept for the job; empty for none. */
+  /** Returns the worker that is reserved for the job; empty for none. */
   std::string_view NodeOf(std::string_view aJob, Instant aNow) const;
 
   std::size_t Count(Instant aNow) const;
@@ -39,7 +39,7 @@
     Instant until_;
   };
 
-  /** By the worker's side. */
+  /** Reservations by the worker's side. */
   std::map<std::string, Reservation, std::less<>> kept_;
 };
 
--- a/Source/Process/StandingRoom.cxx
+++ b/Source/Process/StandingRoom.cxx
@@ -8,18 +8,20 @@
 
 namespace {
 
-/** What was asked this long ago counts 1/e of what is asked now. */
+/** Time constant of the decay, in ms: demand of this age counts 1/e of current
+ * demand. */
 constexpr double kFadeMs = 15000;
-/** A rate is taken over so long at least. */
+/** Minimum interval over which a rate is computed, in ms. */
 constexpr double kLeastSpanMs = 2000;
-/** Processors left to short work, over those that it would keep busy. */
+/** Ratio of the processors left to short work to those that it would keep
+ * busy. */
 constexpr double kSpare = 1.3;
-/** The same once a task has found no room: what is free lies in pieces on many
- * workers, and large tasks need large ones. */
+/** The same ratio after a task found no capacity: free capacity is fragmented
+ * over many workers, and large tasks need large fragments. */
 constexpr double kSpareWhenMissed = 2.5;
-/** So long is such a miss remembered. */
+/** Interval for which kSpareWhenMissed applies after a miss. */
 constexpr Millis kMissMemory{ 15000 };
-/** Jobs that last may always hold this share. */
+/** Share of the capacity that long-running jobs may always use. */
 constexpr double kLeastShare = 0.6;
 
 double
--- a/Source/Process/StandingRoom.h
+++ b/Source/Process/StandingRoom.h
@@ -12,50 +12,52 @@
 namespace cactusrail {
 
 /**
- * Which new jobs that last may start, so that urgent short work still finds
- * room beside them. Owned by FleetScheduler. Pure.
+ * Limits the start of new long-running jobs, so that urgent short work still
+ * finds capacity beside them. Owned by FleetScheduler. Pure.
  *
- * Short work frees its room within seconds; a job that lasts takes what is free
- * at that moment and keeps it. So a part of a service's processors is left to
- * short work, by how much of it callers have asked for lately, and more once
- * some of it has found no room. Jobs that have started are never held back
- * again.
+ * Short work frees its capacity within seconds, whereas a long-running job
+ * takes what is free at the moment and keeps it. A part of a service's
+ * processors is therefore left to short work: its size follows the recent
+ * demand of short work, and rises after short work found no capacity. Jobs that
+ * have started are never deferred again.
  */
 class StandingRoom
 {
 public:
-  /** Callers asked for short work of this priority: thousandths of a processor
+  /** Adds demand of short work of this priority, in thousandths of a processor
    * times milliseconds. */
   void OnAsked(std::string_view aService,
                std::int64_t aPriority,
                double aCpuMilliMs,
                Instant aNow);
 
-  /** A task of short work of this priority found no room. */
+  /** Records that a task of short work of this priority found no capacity. */
   void OnMissed(std::string_view aService,
                 std::int64_t aPriority,
                 Instant aNow);
 
-  /** Thousandths of processors that short work of this priority and more urgent
-   * work has kept busy lately, had it run at once. */
+  /** Returns the recent demand of short work of this and more urgent
+   * priorities: the thousandths of processors that it would have kept busy if
+   * it had run at once. */
   double AskedCpuMilli(std::string_view aService,
                        std::int64_t aPriority,
                        Instant aNow) const;
 
-  /** What jobs that last may hold of a service's processors. */
+  /** Returns the limit of the processors that long-running jobs may use of a
+   * service's capacity, both in thousandths. */
   double MostCpuMilli(std::string_view aService,
                       std::int64_t aPriority,
                       std::int64_t aCapacityMilli,
                       Instant aNow) const;
 
 private:
-  /** A sum that fades with time. */
+  /** Sum of demand that decays exponentially with time. */
   struct Asked
   {
     double cpuMilliMs_ = 0;
     Instant since_;
     Instant addedAt_;
-    /** When a task found no room; none if none did. */
+    /** Time at which a task last found no capacity; none if all did. */
     std::optional<Instant> missedAt_;
 
     double FadedAt(Instant aNow) const;
--- a/Source/Process/WorkerChoice.cxx
+++ b/Source/Process/WorkerChoice.cxx
@@ -8,39 +8,45 @@
 namespace {
 
 /**
- * Backfill starts only where it gets this share of its processors: below it,
- * starting more makes all slower and none ready sooner.
+ * Minimum share of its processors with which backfill starts. Below this share,
+ * more tasks slow down all of them and none completes sooner.
  */
 constexpr double kLeastBackfillShare = 0.8;
 
-/** Part of their processors that tasks which serve are taken to use: what they
- * do use is not reported. Too much shows in the share that backfill gets. */
+/** Assumed share of their declared processors that serving tasks use; the
+ * actual use is not reported. Higher use shows as a lower share of CPU for
+ * backfill. */
 constexpr double kServingUse = 0.6;
-/** Where backfill gets less than this of what it asked for, no more starts. */
+/** Minimum ratio of CPU used to CPU requested by the backfill on a worker;
+ * below it, no more backfill starts there. */
 constexpr double kSaturated = 0.7;
 
-/** Backfill starts only where it may work at this speed: a slower start keeps
- * it from a better place that is free soon. */
+/** Minimum speed at which backfill starts. After a slower start it would miss a
+ * better worker that becomes free soon. */
 constexpr double kLeastSpeed = 0.25;
-/** A task whose effect is unknown starts beside serving ones so often. */
+/** Minimum interval between starts, on one worker, of backfill of unknown
+ * effect beside serving tasks. */
 constexpr Millis kTryEvery{ 800 };
-/** Speed by which starving backfill is compared where it may not work at all.
- */
+/** Speed assumed for starving backfill on workers where it may not run at
+ * all. */
 constexpr double kCrawl = 0.02;
-/** The share of its processors by which it is compared where none are left. */
+/** CPU share assumed for starving backfill on workers without free
+ * processors. */
 constexpr double kLeastShare = 0.05;
-/** It starts where all backfill stands still only if it must: that counts as
- * much as a crawl. */
+/** Cost of a worker with paused backfill, for starving backfill: the same as
+ * for the speed kCrawl, so that such a worker is a last resort. */
 constexpr double kAtRest = 1 / kCrawl;
 
-/** Weights of a choice, in units of "a task takes so many times as long". */
+/** Weights of the choice, as multiples of the duration of a task. */
 constexpr double kBesideServing = 0.2;
 constexpr double kUnknownFit = 1.0;
-/** For each task that would suffer should it turn out harmful. */
+/** Added for each serving task that would suffer if the backfill turns out to
+ * be harmful. */
 constexpr double kTriedBeside = 0.3;
 constexpr double kAvoided = 20;
 
-/** Weights of a worker for a task that serves; an empty one counts 1. */
+/** Cost of a worker for a serving task; a worker without serving tasks costs
+ * 1. */
 constexpr double kSameImage = 0.5;
 constexpr double kOtherImage = 0.7;
 constexpr double kSpread = 0.1;
@@ -67,7 +73,8 @@
   return std::max(cpu, memory);
 }
 
-/** The share of its processors that one more backfill task would get. */
+/** Returns the share of its processors that one more backfill task would
+ * get. */
 double
 BackfillShare(const FleetWorker& aWorker, std::int64_t aCpuMilli)
 {
@@ -128,9 +135,11 @@
 }
 
 /**
- * Tasks that serve are packed onto few workers, those of one image first.
+ * Returns the cost of a worker for a serving task. Serving tasks are packed
+ * onto few workers, those of one image first.
  *
- * The fewer images serve on a worker, the more backfill disturbs none of them.
+ * The fewer images serve on a worker, the more kinds of backfill disturb none
+ * of them.
  */
 double
 ServingCost(const FleetWorker& aWorker, const std::string& aImage)
@@ -172,9 +181,9 @@
 }
 
 /**
- * Whether some worker that could take the task is trusted. If none is, those
- * set aside are used all the same: work must not wait for ever because every
- * worker had a bad minute.
+ * Whether any eligible worker is not cordoned. If all are cordoned, they are
+ * used nevertheless: work must not wait indefinitely because every worker had
+ * failures for a minute.
  */
 bool
 AnyTrusted(std::span<const WorkerOption> aOptions, const ChoiceFacts& aFacts)
@@ -220,7 +229,8 @@
       worker.facts_.draining_ || !worker.strangers_.empty()) {
     return false;
   }
-  // Backfill takes no room.
+  // Backfill uses only processors that others leave, so a reservation of the
+  // worker does not exclude backfill.
   if (aOption.kept_ && !step.backfill_) {
     return false;
   }
@@ -275,8 +285,8 @@
   if (trusted.has_value() || !aFacts.step_->longRunning_) {
     return trusted;
   }
-  // A long-running task has no attempts to lose: where all trusted workers are
-  // full it tries one that is set aside, rather than be away for its pause.
+  // A long-running task has no limited number of attempts. If all other workers
+  // are full, it tries a cordoned worker rather than wait.
   return BestOf(aOptions, aFacts, false);
 }
 
--- a/Source/Process/WorkerChoice.h
+++ b/Source/Process/WorkerChoice.h
@@ -10,60 +10,65 @@
 
 namespace cactusrail {
 
-/** What a choice of a worker for one task rests on. */
+/** Input to the choice of a worker for one task. */
 struct ChoiceFacts
 {
   const StepSpec* step_ = nullptr;
   std::string_view service_;
-  /** Workers where it failed or stood still. */
+  /** Workers on which the task failed or stalled. */
   std::span<const std::string> avoid_;
-  /** How much longer a task takes away from its data or its rack. */
+  /** Factor by which a task takes longer away from its data or its rack. */
   double farFactor_ = 1;
-  /** Racks that tasks of the step use already, for steps of one rack. */
+  /** Rack that tasks of the step use already, for steps that want a single
+   * rack. */
   std::string_view rackInUse_;
   Instant now_;
-  /** Backfill that found no good place for so long that any will do. */
+  /** Backfill that found no suitable worker for a long time; any worker is
+   * accepted. */
   bool starving_ = false;
 };
 
-/** A worker that could take the task, with how many of its step run there. */
+/** Candidate worker for a task. */
 struct WorkerOption
 {
   const FleetWorker* worker_ = nullptr;
   std::uint32_t sameStep_ = 0;
-  /** Set aside for failing what it starts. */
+  /** The worker is cordoned because the tasks that it starts fail. */
   bool setAside_ = false;
-  /** Its room is kept for another job; see RoomReservations. */
+  /** The worker is reserved for another job; see RoomReservations. */
   bool kept_ = false;
-  /** For a backfill task: how it would do beside those that serve there. */
+  /** For a backfill task: its fit beside the serving tasks on the worker. */
   BackfillFit fit_;
 };
 
-/** The room that a task of the step takes of its worker. */
+/** Returns the resources that a task of the step reserves on its worker. */
 FleetRoom
 FixedRoomOf(const StepSpec& aStep);
 
-/** The same, with what its worker's other tasks must know of it. */
+/** Returns the same resources, with the properties of the task that matter to
+ * other tasks on the worker. */
 TaskRoom
 RoomOf(const StepSpec& aStep, const JobDescription& aJob);
 
-/** Whether the worker may run the task at all, with room left or not. */
+/** Whether the worker is eligible to run the task, regardless of free
+ * capacity. */
 bool
 MayRunOn(const WorkerOption& aOption, const ChoiceFacts& aFacts);
 
-/** Whether the room left is enough. */
+/** Whether the free capacity of the worker is sufficient. */
 bool
 HasRoomFor(const FleetWorker& aWorker, const FleetRoom& aRoom);
 
 /**
- * The best worker for a task now; none if it should rather wait. Pure.
+ * Returns the index of the best worker for a task; none if the task should
+ * wait. Pure.
  *
- * - Work with an objective for its own users is packed onto few workers, so
- *   that backfill has workers where it disturbs nobody.
- * - Backfill goes where it gets its processors in full; next to work that
- *   serves only where it is known not to disturb it, or one at a time to learn
- *   whether it does.
- * - All other work is spread by the room that is left.
+ * - Tasks with an objective for their own users are packed onto few workers,
+ *   which leaves workers where backfill disturbs no task.
+ * - Backfill goes where it gets its processors in full. Beside serving tasks it
+ *   starts only where it is known not to disturb them, or one task at a time to
+ *   measure whether it does.
+ * - All other tasks are spread by free capacity.
  */
 std::optional<std::size_t>
 ChooseWorker(std::span<const WorkerOption> aOptions, const ChoiceFacts& aFacts);
