--- a/Source/Process/BackfillInterference.cxx
+++ b/Source/Process/BackfillInterference.cxx
@@ -8,29 +8,32 @@
 
 namespace {
 
-/** The reported figure is of the half second before it was taken. */
+/** A reported figure covers the half second before it was taken. */
 constexpr Millis kFigureWindow{ 500 };
-/** A run's figures overlap if they are taken more often. */
+/** Minimum interval between the figures of a run; at shorter intervals, the
+ * figures overlap. */
 constexpr Millis kFigureEvery{ 400 };
-/** A figure still holds this part of the one half a second before. */
+/** Weight, in a figure, of the figure half a second before. */
 constexpr double kFigureMemory = 0.25;
-/** Figures and loads of runs that are gone are forgotten after this. */
+/** Retention of the figures and loads of runs that ended. */
 constexpr Millis kForget{ 30000 };
 
-/** Doubt that counts as cost, in standard deviations: enough for a pair never
- * seen to start at a lower speed, little enough for it to start. */
+/** Standard deviations that are added to a cost: enough for an unmeasured pair
+ * to start at a lower speed, and few enough for it to start. */
 constexpr double kCaution = 0.5;
-/** A pair is known once its doubt is below this, half of that at first. */
+/** Standard deviation of a cost below which a pair is known; an unmeasured pair
+ * has twice as much. */
 constexpr double kKnownDoubt = 0.06;
-/** Costs of most pairs are below this, those of the others twice it and more.
- * What costs more is placed elsewhere: it would take the room of ten others. */
+/** Cost above which a pair is placed elsewhere, as the task would take the
+ * capacity of ten others. Most pairs cost less; the rest cost at least twice as
+ * much. */
 constexpr double kHarmlessCost = 0.07;
-/** A cost is more than noise from so many standard deviations on. */
+/** Standard deviations above which a cost is more than noise. */
 constexpr double kProven = 1;
 /** Costs below this are noise. */
 constexpr double kLeastCost = 0.01;
-/** Speeds hold until the next report, half a second later, has been acted on.
- */
+/** Interval for which speeds apply: until the next report, half a second later,
+ * has been processed. */
 constexpr Millis kUntilNextReport{ 800 };
 
 double
@@ -39,8 +42,9 @@
   return aCost.mean_ + kCaution * aCost.doubt_;
 }
 
-/** What runs already is slowed only for a cost that is more than noise: its
- * latencies show the rest within half a second. */
+/** Returns the cost by which running backfill is slowed: 0 unless it is more
+ * than noise, as the latencies show the remaining effect within half a
+ * second. */
 double
 ProvenCost(const ContentionCost& aCost)
 {
@@ -81,7 +85,8 @@
                std::chrono::duration<double>(kFigureWindow));
   const double memory = std::pow(kFigureMemory, windows);
   const double fresh = (aPressure - memory * aLast.pressure_) / (1 - memory);
-  // What is left of a very high figure can't be told from what is new.
+  // The remainder of a very high figure can't be separated from new latency, so
+  // the result has a lower bound.
   return std::max(fresh, std::min(aPressure, aLast.pressure_) / 2);
 }
 
@@ -122,8 +127,8 @@
   const std::vector<Neighbour> neighbours =
     history_.Mean(aWorker, aMeasuredAt - kFigureWindow, aMeasuredAt);
   // Tasks of one job on one worker share their load and their neighbours, so
-  // their errors too: taken one by one they made the costs look sure, and
-  // wrong, after one report.
+  // their errors are correlated and only their median counts. Counted one by
+  // one, they gave costs a low deviation and a wrong mean after one report.
   for (Group& group : FreshFigures(aServing, aMeasuredAt)) {
     const auto middle =
       group.pressures_.begin() +
@@ -171,8 +176,8 @@
     explained += one.pace_ * one.size_ *
                  model_.CostOf(serving, model_.Number(one.image_)).mean_;
   }
-  // A task that is busier than its job explains by itself counts as that busy:
-  // should the model be wrong, its figures still bring the backfill down.
+  // A task that is busier than the load of its job explains counts as that
+  // busy, so that its figures slow the backfill even if the model is wrong.
   const double own =
     model_.Utilisation(serving, aServing.pressure_) - explained;
   const double load =
--- a/Source/Process/BackfillInterference.h
+++ b/Source/Process/BackfillInterference.h
@@ -14,44 +14,44 @@
 
 namespace cactusrail {
 
-/** A task that serves its own users, as last reported. */
+/** A task that serves users of its own, as last reported. */
 struct ServingSample
 {
-  /** Which run it is, "TASK/RUN"; a run's figure counts once each half second.
-   */
+  /** Run, as "TASK/RUN"; the figure of a run counts once per half second. */
   std::string run_;
-  /** Its job: all of a job's tasks share the load of its users. */
+  /** Job of the task; all tasks of a job share the load of its users. */
   std::string job_;
   std::string image_;
-  /** Its tail latency over its objective. */
+  /** Ratio of its tail latency to its objective. */
   double pressure_ = 0;
 };
 
-/** A backfill task beside it. */
+/** A backfill task on the same worker. */
 struct BackfillSample
 {
   std::string image_;
-  /** What it may use, in tenths of its worker's processors, at full pace. */
+  /** CPU that the task may use at full pace, in tenths of its worker's
+   * processors. */
   double size_ = 1;
-  /** Share of its speed at which it works. */
+  /** Share of its full speed at which the task runs. */
   double pace_ = 1;
 };
 
-/** How one more backfill task would do beside those that serve on a worker. */
+/** Predicted effect of one more backfill task on a worker's serving tasks. */
 struct BackfillFit
 {
-  /** How much of it may work at full speed so that they keep their objective,
-   * in tenths of the worker's processors. */
+  /** Amount of backfill that may run at full speed while the serving tasks keep
+   * their objective, in tenths of the worker's processors. */
   double tenths_ = std::numeric_limits<double>::infinity();
-  /** The speed, 0 to 1, at which a task of a given size may work therefore. */
+  /** Resulting speed, 0 to 1, for a task of a given size. */
   double speed_ = 1;
-  /** It costs none of them more than noise. */
+  /** The cost to each serving task is low; see kHarmlessCost. */
   bool harmless_ = true;
-  /** All its pairs with them have been measured. */
+  /** The cost to each serving task has been measured. */
   bool known_ = true;
 };
 
-/** Tasks of one job that serve on a worker. */
+/** Serving tasks of one job and image on a worker. */
 struct ServingGroup
 {
   std::string job_;
@@ -64,25 +64,26 @@
 };
 
 /**
- * What backfill costs the tasks beside it that serve, and how fast it may work
- * so that they keep their objective. Owned by the scheduler. Pure.
+ * Measures how much backfill slows the serving tasks beside it, and limits its
+ * speed so that they keep their objective. Owned by the scheduler. Pure.
  */
 class BackfillInterference
 {
 public:
-  /** What runs on a worker from now on. */
+  /** Records the backfill that runs on a worker from aNow on. */
   void Record(std::string_view aWorker,
               std::span<const BackfillSample> aBackfill,
               Instant aNow);
 
-  /** Tail latencies as they were measured at that time. */
+  /** Applies tail latencies that were measured at aMeasuredAt. */
   void Measure(std::string_view aWorker,
                std::span<const ServingSample> aServing,
                Instant aMeasuredAt);
 
   /**
-   * How more backfill of an image would do beside these serving tasks and this
-   * backfill (image and size of all its tasks) for this time.
+   * Returns the fit of one more backfill task of an image beside the given
+   * serving tasks and backfill (image and total size of its tasks), for the
+   * interval aAhead.
    */
   BackfillFit FitOfOneMore(
     const std::map<ServingGroup, std::uint32_t>& aServing,
@@ -91,26 +92,27 @@
     Millis aAhead);
 
   /**
-   * The speeds at which the backfill of one worker may work until the next
-   * report, in the given order: those that cost least get theirs first.
+   * Returns the speeds at which the backfill of one worker may run until the
+   * next report, in the given order. The tasks of the lowest cost get theirs
+   * first.
    */
   std::vector<double> Speeds(std::span<const ServingSample> aServing,
                              std::span<const BackfillSample> aBackfill);
 
-  /** What has been learned, for the next leader, and from the last one. */
+  /** The model, which one leader stores for the next one. */
   const ContentionModel& Model() const { return model_; }
   ContentionModel& Model() { return model_; }
 
 private:
-  /** The last figure of a run, which the next one still contains a part of. */
+  /** Last figure of a run; the next figure still contains a part of it. */
   struct Figure
   {
     Instant takenAt_;
     double pressure_ = 0;
   };
 
-  /** The middle figure of tasks of one job and image; they are disturbed alike.
-   */
+  /** Figures of the tasks of one job and image, which backfill slows alike; the
+   * median of them is used. */
   struct Group
   {
     std::string job_;
--- a/Source/Process/Lane.cxx
+++ b/Source/Process/Lane.cxx
@@ -26,10 +26,12 @@
 namespace {
 
 constexpr Millis kTick{ 10 };
-/** Without a request there is no deadline to keep, and waking costs. */
+/** Tick interval without requests: there are no deadlines to check, and each
+ * wake-up costs CPU time. */
 constexpr Millis kIdleTick{ 100 };
 constexpr std::size_t kClaimsInGroup = 64;
-/** None: a claim that finds no transaction under way goes at once. */
+/** No minimum interval: a claim is sent immediately if no transaction is in
+ * flight. */
 constexpr Millis kClaimsInterval{ 0 };
 constexpr Millis kClaimsPatience{ 50 };
 constexpr std::string_view kServicePrefix = "/s/";
@@ -58,7 +60,7 @@
   return escaped;
 }
 
-/** The answer to a caller, ours or the upstream's. */
+/** Converts the entry's own answer or the upstream's to HTTP. */
 HttpAnswer
 ToHttp(const AnswerCaller& aAnswer)
 {
@@ -133,7 +135,8 @@
 
   EntrySettings settings_;
   std::uint16_t port_;
-  /** Request ids are unique over entries, restarts and lanes. */
+  /** Origin of request ids, which are unique across entries, restarts and
+   * lanes. */
   RequestOrigin origin_;
   std::int64_t laneNumber_;
   ConfigurationHolder& configuration_;
@@ -143,7 +146,7 @@
   std::atomic<std::size_t> inProgress_{ 0 };
   std::atomic<bool> drained_{ false };
 
-  // Made and destroyed in the lane's thread.
+  // Created and destroyed in the lane's thread.
   std::unique_ptr<EntryCore> core_;
   std::unique_ptr<HttpFront> front_;
   std::unique_ptr<TableClient> table_;
@@ -394,7 +397,8 @@
 Lane::Private::OnClaimsEnded(const std::vector<ClaimBatcher::Ended>& aEnded)
 {
   const Instant now = ReadMonotonicClock();
-  // All of them before the first action: what they write next is one group.
+  // Collects the actions of all claims first, so that their next writes form
+  // one batch.
   std::vector<EntryAction> actions;
   for (const ClaimBatcher::Ended& ended : aEnded) {
     std::vector<EntryAction> next = core_->OnClaimWritten(
--- a/Source/Process/Lane.h
+++ b/Source/Process/Lane.h
@@ -14,15 +14,16 @@
 namespace cactusrail {
 
 /**
- * One thread of an entry that serves callers: its own listening socket on the
- * shared port, its own EntryCore, connections to sides and table client. Lanes
- * share only the configuration and the journal. Owned by EntryProcess; its
- * functions may be called from any thread.
+ * One thread of an entry that serves callers. It has its own listening socket
+ * on the shared port, its own EntryCore, connections to sides and table client.
+ * Lanes share only the configuration and the journal. Owned by EntryProcess;
+ * its functions may be called from any thread.
  */
 class Lane
 {
 public:
-  /** aPort 0 takes a free port; see Port(). Blocks until the lane listens. */
+  /** Starts a lane; blocks until it listens or fails. With aPort 0 the system
+   * chooses a free port; see Port(). */
   static Result<std::unique_ptr<Lane>> Start(
     const EntrySettings& aSettings,
     std::uint16_t aPort,
@@ -35,27 +36,30 @@
   std::uint16_t Port() const;
 
   /**
-   * Hands on a heartbeat; returns at once. It counts from when this process
-   * heard it: a busy lane must not believe longer in a silent side.
+   * Passes on a heartbeat; returns immediately. Its age counts from the receipt
+   * by this process, so that a busy lane does not treat an unresponsive side as
+   * alive for longer.
    */
   void Observe(const HeartbeatMessage& aHeartbeat, Instant aHeardAt);
 
-  /** A planned stop is near: connections close after their next answer. */
+  /** Closes connections after their next answer, ahead of a planned stop. */
   void CloseAfterAnswers();
 
-  /** No further connections; Drained() follows. */
+  /** Accepts no further connections; Drained() becomes true later. */
   void StopListening();
 
-  /** The stop's bound has come: answers all that is open, with its verdict. */
+  /** Answers all open requests with their verdicts, at the time limit of a
+   * stop. */
   void GiveUpAll();
 
   /**
-   * The lane has stopped listening, every connection that was made is closed
-   * with its answers written, and the table has answered. Never false again.
+   * Whether the lane has stopped listening, all connections are closed with
+   * their answers written, and the table has answered. Stays true from then on.
    */
   bool Drained() const;
 
-  /** Requests without their final answer, a few milliseconds ago. */
+  /** Number of requests without a final answer; updated every 10 ms while
+   * requests are in progress. */
   std::size_t InProgress() const;
 
 private:
--- a/Source/Process/StepSegments.cxx
+++ b/Source/Process/StepSegments.cxx
@@ -50,7 +50,7 @@
 std::optional<RequestOrigin>
 ReadRequestId(std::string_view aRequestId)
 {
-  // From the end: the entry's name may hold dashes itself.
+  // Parses from the end, as the entry's name may contain dashes.
   std::vector<std::string> fields;
   std::string rest(aRequestId);
   for (std::size_t i = 0; i < kFieldsAfterName; ++i) {
--- a/Source/Process/StepSegments.h
+++ b/Source/Process/StepSegments.h
@@ -13,62 +13,66 @@
 namespace cactusrail {
 
 /**
- * How the steps of requests are kept in the object store: one object a host and
- * slot of time, named so that a request's id, or a step that names a side,
- * leads to it without a search.
+ * Storage of request steps in the object store: one object per host and time
+ * slot. Its name follows from a request's id, or from a step that names a side,
+ * so that no search is needed.
  */
 
-/** Steps of one entry go out this often, those of one side that often. */
+/** Length of the slots in which an entry, and a side, store their steps. */
 constexpr Millis kEntrySlot{ 2000 };
 constexpr Millis kSideSlot{ 30000 };
 
-/** What a request's id says; "NAME-INCARNATION-LANE-SLOT-NUMBER". */
+/** Fields of a request's id, "NAME-INCARNATION-LANE-SLOT-NUMBER". */
 struct RequestOrigin
 {
   std::string entry_;
   /** The entry's start, in wall-clock microseconds. */
   std::uint64_t incarnation_ = 0;
-  /** Of kEntrySlot, counted from the entry's start. */
+  /** Number of the slot of length kEntrySlot, counted from the entry's
+   * start. */
   std::uint64_t slot_ = 0;
 };
 
-/** An id that is unique over entries, their restarts and lanes. */
+/** Returns an id that is unique across entries, their restarts and lanes. */
 std::string
 MakeRequestId(const RequestOrigin& aOrigin,
               std::int64_t aLane,
               std::uint64_t aNumber);
 
-/** What an id says, or nothing if it isn't one of ours. */
+/** Parses an id; none if the text is not a request id. */
 std::optional<RequestOrigin>
 ReadRequestId(std::string_view aRequestId);
 
-/** The slot that a wall-clock time falls in; 0 if it is before the start. */
+/** Returns the slot of a wall-clock time, counted from aStartMicros; 0 for
+ * times before the start. */
 std::uint64_t
 SlotOf(std::int64_t aWallMicros, std::uint64_t aStartMicros, Millis aLength);
 
-/** The object of an entry's slot, counted from its start. */
+/** Returns the name of the object of an entry's slot, counted from its
+ * start. */
 std::string
 EntrySegmentName(const RequestOrigin& aOrigin);
 
-/** The object of a side's slot, counted from 1970: restarts share it. */
+/** Returns the name of the object of a side's slot, counted from 1970, so that
+ * the incarnations of a side share it. */
 std::string
 SideSegmentName(std::string_view aSide, std::uint64_t aSlot);
 
-/** One line a step, and back; lines that can't be read are left out. */
+/** Writes one JSON line per step, and reads them; invalid lines are skipped. */
 std::string
 SegmentText(std::span<const RequestStep> aSteps);
 std::vector<RequestStep>
 ReadSegment(std::string_view aText);
 
 /**
- * The steps of one request alone. Lines of others are passed over unparsed: a
- * busy segment holds thousands, and parsing them all held an entry's thread for
- * tens of milliseconds a question.
+ * Reads the steps of one request only. Lines of other requests are skipped
+ * without parsing: a busy segment holds thousands of lines, and parsing all of
+ * them blocked an entry's thread for tens of milliseconds per query.
  */
 std::vector<RequestStep>
 ReadSegment(std::string_view aText, std::string_view aRequestId);
 
-/** In order of time, each step once. */
+/** Sorts steps by time and removes duplicates. */
 std::vector<RequestStep>
 SortedSteps(std::vector<RequestStep> aSteps);
 
--- a/Tests/Fleet/JobOrderTest.cxx
+++ b/Tests/Fleet/JobOrderTest.cxx
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Objective: 1 s and twice the chain of 2 s, so 5 s; of use for 15 s. */
+/** Objective: 1 s plus twice the chain of 2 s, so 5 s; useful for 15 s. */
 JobDescription
 BatchJob()
 {
@@ -27,9 +27,9 @@
 
 }
 
-// Ten seconds of work have piled up. A payout handed in now would be in time if
-// it started within three seconds; those at the head of the queue are late
-// already, and still of use for seconds. In order of arrival all are late.
+// Guards against a backlog of 10 s of work that delays new jobs in order of
+// arrival. A new job is in time if it starts within 3 s, whereas the jobs at
+// the head of the queue are late already and stay useful for seconds.
 Test(JobOrder, WhatIsLateLetsThatPassWhichCanBeInTime)
 {
   const JobRank waited = RankAfter(0, 6000);
@@ -37,8 +37,8 @@
   cr_assert_lt(fresh, waited);
 }
 
-// A late job that would soon be of no use to anybody goes before one that has
-// all of its time left.
+// A late job whose result soon loses its use goes before a job that has all of
+// its time left.
 Test(JobOrder, LateJobGoesWhileItIsStillOfUse)
 {
   const JobRank almostOver = RankAfter(0, 12500);
@@ -46,8 +46,8 @@
   cr_assert_lt(almostOver, fresh);
 }
 
-// Nobody waits for the answer of an overdue job any more: it runs when all else
-// does, among its like in order of arrival.
+// The result of an overdue job is no longer awaited, so the job goes after all
+// others; overdue jobs go in order of arrival.
 Test(JobOrder, OverdueJobsGoLastInOrderOfArrival)
 {
   const JobRank overdue = RankAfter(0, 20000);
@@ -57,8 +57,8 @@
   cr_assert_lt(older, overdue);
 }
 
-// A step after another waits for it: the chain is their sum, and steps that are
-// done count nothing.
+// A step waits for the step before it, so the chain is the sum of both.
+// Completed steps count as 0.
 Test(JobOrder, ChainIsTheLongestPathOfWhatIsLeft)
 {
   JobDescription job = BatchJob();
@@ -71,8 +71,8 @@
   cr_assert_float_eq(ChainMillis(job.steps_, firstDone), 1500, 0.1);
 }
 
-// The scheduler itself: one worker with room for one task, a backlog of late
-// jobs, and a fresh one that can be in time.
+// Checks the order in the scheduler: one worker with capacity for one task, a
+// backlog of late jobs, and a new job that can be in time.
 Test(JobOrder, FreshJobIsPlacedBeforeTheBacklog)
 {
   FleetWorld world(1, { 1000, 64000, 0 });
@@ -91,9 +91,9 @@
   cr_assert_eq(world.StateOf("fresh"), JobState::Completed);
 }
 
-// All workers are full of watchers, and more wait. When one ends, valuations
-// that a clerk waits for take the room; in order of arrival the watchers took
-// it, and no valuation was in time for as long as the fleet was full.
+// Guards against long-running watchers that take the capacity which another
+// watcher frees, before urgent jobs. In order of arrival, no urgent job was in
+// time for as long as the fleet was full.
 Test(JobOrder, UrgentWorkTakesTheRoomThatAWatcherLeaves)
 {
   FleetWorld world(1, { 10000, 64000, 0 });
--- a/Tests/Fleet/PlacementMissesTest.cxx
+++ b/Tests/Fleet/PlacementMissesTest.cxx
@@ -34,7 +34,7 @@
   cr_assert(Covered(misses, Asking(1, 2000)));
   cr_assert(Covered(misses, Asking(2, 3000)));
   cr_assert_not(Covered(misses, Asking(1, 1999)));
-  // It may preempt more.
+  // A more urgent job may preempt more tasks.
   cr_assert_not(Covered(misses, Asking(0, 2000)));
   misses.Clear();
   cr_assert_not(Covered(misses, Asking(1, 2000)));
@@ -62,8 +62,8 @@
   cr_assert_not(Covered(misses, other));
 }
 
-// Pattern: a backlog in a full fleet; the leader looked at each worker and at
-// each of its runs for each waiting step in each pass, and fell behind.
+// Guards against a leader that falls behind with a backlog in a full fleet: it
+// scanned all workers and their runs for each waiting step in each pass.
 Test(PlacementMisses, BacklogOfEqualStepsCostsOneLookAPass)
 {
   FleetWorld world(8);
@@ -74,13 +74,13 @@
   world.Run(Millis(100));
   const std::uint64_t before = world.Scheduler().FleetLooks();
   world.Run(Millis(500));
-  // Two where one step makes room as well.
+  // A pass needs two scans where a step also preempts.
   constexpr std::uint64_t kPasses = 50;
   cr_assert_leq(world.Scheduler().FleetLooks() - before, 3 * kPasses);
 }
 
-// Guards against a step that is refused for another one's miss though its own
-// task would fit.
+// Guards against a step that is refused for the miss of another step although
+// its own task would fit.
 Test(PlacementMisses, SmallerStepBehindALargeOneStarts)
 {
   FleetWorld world(1);
--- a/Tests/Fleet/StandingRoomTest.cxx
+++ b/Tests/Fleet/StandingRoomTest.cxx
@@ -30,7 +30,8 @@
   return job;
 }
 
-/** Watchers hold half of eight hosts, callers ask for quotes all the time. */
+/** Eight hosts, half of whose capacity is used by watchers, while callers
+ * submit quotes continuously. */
 class SharedFleet
 {
 public:
@@ -79,14 +80,15 @@
 
 }
 
-// Pattern: watchers arrive in a fleet that they nearly fill; they took what was
-// free for a moment and kept it, and quotes waited for 20 s.
+// Guards against long-running watchers that take all capacity which is free for
+// a moment. When they arrived in a fleet that they nearly filled, quotes waited
+// for 20 s.
 Test(StandingRoom, QuotesFindRoomWhenNewWatchersArrive)
 {
   SharedFleet fleet;
   fleet.RunWithQuotes(Millis(5000));
   fleet.SubmitNewWatchers();
-  // In waves: between them there is room for a moment.
+  // Quotes come in waves; between them, capacity is free for a moment.
   for (int wave = 0; wave < 4; ++wave) {
     fleet.world_.Run(Millis(1500));
     fleet.RunWithQuotes(Millis(2500));
@@ -121,8 +123,8 @@
   cr_assert_eq(fleet.NewWatchersStarted(), 8);
 }
 
-// Guards against a watcher that stays away after a loss of power because
-// quotes have been asked for since it started.
+// Guards against a watcher that does not restart after a loss of power, because
+// the new leader defers it for quotes submitted since it started.
 Test(StandingRoom, WatcherThatHasRunIsNotHeldBackByTheNextLeader)
 {
   SharedFleet fleet;
@@ -150,7 +152,8 @@
 {
   StandingRoom room;
   std::int64_t now = 0;
-  // Ten times a second what keeps two processors busy for 100 ms.
+  // Ten requests per second, each of which keeps two processors busy for 100
+  // ms.
   for (; now < 20000; now += 100) {
     room.OnAsked("service", 0, 2000.0 * 100, At(now));
   }
@@ -169,7 +172,9 @@
   cr_assert_lt(room.MostCpuMilli("service", 2, 64000, At(1000)), 64000);
 }
 
-// Guards against watchers that wait though short work finds room all the time.
+// Guards against watchers that are deferred although short work always finds
+// capacity: only a miss raises the share left to short work, and only for a
+// limited time.
 Test(StandingRoom, MoreIsLeftOnceShortWorkFoundNoRoom)
 {
   StandingRoom room;
--- a/Tests/Fleet/WorkerChoiceTest.cxx
+++ b/Tests/Fleet/WorkerChoiceTest.cxx
@@ -45,8 +45,9 @@
 
 }
 
-// A run that nobody knows of holds room of unknown size on a worker that does
-// not guard its own: a start there may bring it over its capacity.
+// Guards against a start beside an unknown run. The run uses resources of
+// unknown size, so the start may exceed the capacity of a worker that does not
+// enforce it.
 Test(WorkerChoice, NothingStartsBesideAStranger)
 {
   FleetWorker worker = Worker("w");
@@ -58,8 +59,8 @@
   cr_assert_not(MayRunOn(option, FactsOf(step)));
 }
 
-// A step asks for at most two of its tasks on one worker, so that the loss of
-// one takes no more of them along.
+// A step allows at most two of its tasks per worker, so that the loss of a
+// worker stops no more of them.
 Test(WorkerChoice, NoMoreTasksOfAStepThanItAllows)
 {
   FleetWorker worker = Worker("w");
--- a/Tests/Unit/StepSegmentsTest.cxx
+++ b/Tests/Unit/StepSegmentsTest.cxx
@@ -38,8 +38,8 @@
   cr_assert(SortedSteps(read).size() == 1);
 }
 
-// An operator asks about one request of a busy minute. Only its own steps may
-// come out of the segment, not those of a request whose id begins alike.
+// Guards against steps of other requests in the result of a query for one
+// request, in particular of a request whose id has the queried id as a prefix.
 Test(StepSegments, ReadsOneRequestAlone)
 {
   RequestStep one;
