--- a/Source/Process/BackfillInterference.cxx
+++ b/Source/Process/BackfillInterference.cxx
@@ -12,34 +12,34 @@
 constexpr Millis kFigureWindow{ 500 };
 /** Minimum interval between the figures of a run; at shorter intervals, the
  * figures overlap. */
-constexpr Millis kFigureEvery{ 400 };
+constexpr Millis kMinFigureInterval{ 400 };
 /** Weight, in a figure, of the figure half a second before. */
-constexpr double kFigureMemory = 0.25;
+constexpr double kLastFigureWeight = 0.25;
 /** Retention of the figures and loads of runs that ended. */
-constexpr Millis kForget{ 30000 };
+constexpr Millis kRetention{ 30000 };
 
 /** Standard deviations that are added to a cost: enough for an unmeasured pair
  * to start at a lower speed, and few enough for it to start. */
-constexpr double kCaution = 0.5;
+constexpr double kCautionDeviations = 0.5;
 /** Standard deviation of a cost below which a pair is known; an unmeasured pair
  * has twice as much. */
-constexpr double kKnownDoubt = 0.06;
+constexpr double kKnownDeviation = 0.06;
 /** Cost above which a pair is placed elsewhere, as the task would take the
  * capacity of ten others. Most pairs cost less; the rest cost at least twice as
  * much. */
 constexpr double kHarmlessCost = 0.07;
 /** Standard deviations above which a cost is more than noise. */
-constexpr double kProven = 1;
+constexpr double kProvenDeviations = 1;
 /** Costs below this are noise. */
-constexpr double kLeastCost = 0.01;
+constexpr double kMinCost = 0.01;
 /** Interval for which speeds apply: until the next report, half a second later,
  * has been processed. */
-constexpr Millis kUntilNextReport{ 800 };
+constexpr Millis kSpeedInterval{ 800 };
 
 double
 CautiousCost(const ContentionCost& aCost)
 {
-  return aCost.mean_ + kCaution * aCost.doubt_;
+  return aCost.mean_ + kCautionDeviations * aCost.doubt_;
 }
 
 /** Returns the cost by which running backfill is slowed: 0 unless it is more
@@ -48,7 +48,7 @@
 double
 ProvenCost(const ContentionCost& aCost)
 {
-  return aCost.mean_ > kProven * aCost.doubt_ ? aCost.mean_ : 0;
+  return aCost.mean_ > kProvenDeviations * aCost.doubt_ ? aCost.mean_ : 0;
 }
 
 }
@@ -65,25 +65,25 @@
       { model_.Number(sample.image_), sample.pace_ * sample.size_ });
   }
   history_.Record(aWorker, neighbours, aNow);
-  if (aNow - forgotAt_ > kForget) {
-    forgotAt_ = aNow;
-    model_.ForgetBefore(aNow - kForget);
+  if (aNow - cleanedAt_ > kRetention) {
+    cleanedAt_ = aNow;
+    model_.ForgetBefore(aNow - kRetention);
     std::erase_if(figures_, [aNow](const auto& aEntry) {
-      return aNow - aEntry.second.takenAt_ > kForget;
+      return aNow - aEntry.second.takenAt_ > kRetention;
     });
   }
 }
 
 double
-BackfillInterference::WithoutLast(const Figure& aLast,
-                                  double aPressure,
-                                  Instant aMeasuredAt)
+BackfillInterference::SubtractLast(const Figure& aLast,
+                                   double aPressure,
+                                   Instant aMeasuredAt)
 {
   const double windows =
     std::max(1.0,
              std::chrono::duration<double>(aMeasuredAt - aLast.takenAt_) /
                std::chrono::duration<double>(kFigureWindow));
-  const double memory = std::pow(kFigureMemory, windows);
+  const double memory = std::pow(kLastFigureWeight, windows);
   const double fresh = (aPressure - memory * aLast.pressure_) / (1 - memory);
   // The remainder of a very high figure can't be separated from new latency, so
   // the result has a lower bound.
@@ -91,18 +91,19 @@
 }
 
 std::vector<BackfillInterference::Group>
-BackfillInterference::FreshFigures(std::span<const ServingSample> aServing,
-                                   Instant aMeasuredAt)
+BackfillInterference::TakeNewFigures(std::span<const ServingSample> aServing,
+                                     Instant aMeasuredAt)
 {
   std::map<std::pair<std::string_view, ContentionModel::Image>, Group> groups;
   for (const ServingSample& sample : aServing) {
     Figure& last = figures_[sample.run_];
-    if (sample.pressure_ <= 0 || aMeasuredAt - last.takenAt_ < kFigureEvery) {
+    if (sample.pressure_ <= 0 ||
+        aMeasuredAt - last.takenAt_ < kMinFigureInterval) {
       continue;
     }
-    const double pressure = last.pressure_ > 0
-                              ? WithoutLast(last, sample.pressure_, aMeasuredAt)
-                              : sample.pressure_;
+    const double pressure =
+      last.pressure_ > 0 ? SubtractLast(last, sample.pressure_, aMeasuredAt)
+                         : sample.pressure_;
     last = { aMeasuredAt, sample.pressure_ };
     const ContentionModel::Image image = model_.Number(sample.image_);
     model_.OnReported(image, sample.pressure_);
@@ -129,13 +130,13 @@
   // Tasks of one job on one worker share their load and their neighbours, so
   // their errors are correlated and only their median counts. Counted one by
   // one, they gave costs a low deviation and a wrong mean after one report.
-  for (Group& group : FreshFigures(aServing, aMeasuredAt)) {
-    const auto middle =
+  for (Group& group : TakeNewFigures(aServing, aMeasuredAt)) {
+    const auto median =
       group.pressures_.begin() +
       static_cast<std::ptrdiff_t>(group.pressures_.size() / 2);
-    std::nth_element(group.pressures_.begin(), middle, group.pressures_.end());
+    std::nth_element(group.pressures_.begin(), median, group.pressures_.end());
     model_.OnMeasured(
-      group.image_, group.job_, *middle, neighbours, aMeasuredAt);
+      group.image_, group.job_, *median, neighbours, aMeasuredAt);
   }
 }
 
@@ -151,10 +152,10 @@
   for (const auto& [group, count] : aServing) {
     const ContentionModel::Image serving = model_.Number(group.image_);
     const ContentionCost pair = model_.CostOf(serving, image);
-    fit.known_ = fit.known_ && pair.doubt_ <= kKnownDoubt;
+    fit.known_ = fit.known_ && pair.doubt_ <= kKnownDeviation;
     fit.harmless_ = fit.harmless_ && pair.mean_ <= kHarmlessCost;
     const double cost = CautiousCost(pair);
-    if (cost < kLeastCost) {
+    if (cost < kMinCost) {
       continue;
     }
     double room = model_.Limit(serving) - model_.LoadWithin(group.job_, aAhead);
@@ -167,8 +168,8 @@
 }
 
 double
-BackfillInterference::RoomLeft(const ServingSample& aServing,
-                               std::span<const BackfillSample> aBackfill)
+BackfillInterference::CapacityLeft(const ServingSample& aServing,
+                                   std::span<const BackfillSample> aBackfill)
 {
   const ContentionModel::Image serving = model_.Number(aServing.image_);
   double explained = 0;
@@ -181,7 +182,7 @@
   const double own =
     model_.Utilisation(serving, aServing.pressure_) - explained;
   const double load =
-    std::max(own, model_.LoadWithin(aServing.job_, kUntilNextReport));
+    std::max(own, model_.LoadWithin(aServing.job_, kSpeedInterval));
   return model_.Limit(serving) - load;
 }
 
@@ -192,7 +193,7 @@
   std::vector<double> room;
   std::vector<ContentionModel::Image> serving;
   for (const ServingSample& sample : aServing) {
-    room.push_back(RoomLeft(sample, aBackfill));
+    room.push_back(CapacityLeft(sample, aBackfill));
     serving.push_back(model_.Number(sample.image_));
   }
   std::vector<std::vector<double>> costs(aBackfill.size());
@@ -215,7 +216,7 @@
   std::vector<double> speeds(aBackfill.size(), 1);
   for (const std::size_t i : order) {
     for (std::size_t s = 0; s < serving.size(); ++s) {
-      if (costs[i][s] >= kLeastCost) {
+      if (costs[i][s] >= kMinCost) {
         speeds[i] = std::min(speeds[i], std::max(0.0, room[s]) / costs[i][s]);
       }
     }
--- a/Source/Process/BackfillInterference.h
+++ b/Source/Process/BackfillInterference.h
@@ -119,18 +119,18 @@
     ContentionModel::Image image_ = 0;
     std::vector<double> pressures_;
   };
-  std::vector<Group> FreshFigures(std::span<const ServingSample> aServing,
-                                  Instant aMeasuredAt);
-  static double WithoutLast(const Figure& aLast,
-                            double aPressure,
-                            Instant aMeasuredAt);
-  double RoomLeft(const ServingSample& aServing,
-                  std::span<const BackfillSample> aBackfill);
+  std::vector<Group> TakeNewFigures(std::span<const ServingSample> aServing,
+                                    Instant aMeasuredAt);
+  static double SubtractLast(const Figure& aLast,
+                             double aPressure,
+                             Instant aMeasuredAt);
+  double CapacityLeft(const ServingSample& aServing,
+                      std::span<const BackfillSample> aBackfill);
 
   ContentionModel model_;
   InterferenceHistory history_;
   std::map<std::string, Figure, std::less<>> figures_;
-  Instant forgotAt_;
+  Instant cleanedAt_;
 };
 
 }
--- a/Source/Process/FleetJob.cxx
+++ b/Source/Process/FleetJob.cxx
@@ -193,7 +193,7 @@
 }
 
 void
-FleetJob::NoteStep(const FleetStep& aStep, JobProgress& aProgress)
+FleetJob::AddStepProgress(const FleetStep& aStep, JobProgress& aProgress)
 {
   StepNote note;
   note.occurrence_ = aStep.occurrence_;
@@ -227,7 +227,7 @@
   }
   for (const auto& [number, occurrence] : occurrences_) {
     for (const FleetStep& step : occurrence.steps_) {
-      NoteStep(step, progress);
+      AddStepProgress(step, progress);
     }
   }
   return progress;
--- a/Source/Process/FleetJob.h
+++ b/Source/Process/FleetJob.h
@@ -190,7 +190,7 @@
   void OnStepDone(std::uint32_t aOccurrence, Instant aNow);
   std::uint32_t OccurrenceCount() const;
   void RestoreStep(const StepNote& aNote, Instant aNow);
-  static void NoteStep(const FleetStep& aStep, JobProgress& aProgress);
+  static void AddStepProgress(const FleetStep& aStep, JobProgress& aProgress);
 
   JobDescription spec_;
   std::uint32_t firstRun_;
--- a/Source/Process/FleetWorker.h
+++ b/Source/Process/FleetWorker.h
@@ -62,8 +62,8 @@
   /** The side's row is in the table, so the next leader will query the side
    * too. */
   bool registered_ = false;
-  /** Work of a previous leader may still run there; cleared by the first
-   * report. */
+  /** Work of a previous leader may still run there, as the worker has not
+   * reported to this leader yet. */
   bool suspect_ = false;
   /** The last report showed neither a worker nor runs. */
   bool left_ = false;
@@ -110,8 +110,8 @@
   double slowness_ = 1;
   /** Time at which the last reported figures of the runs were measured. */
   Instant measuredAt_;
-  /** Start of the period in which each serving task has exceeded its
-   * objective. */
+  /** Start of the current period above its objective, for each serving task
+   * that exceeds it. */
   std::map<std::string, Instant> overSince_;
   /** High-frequency reporting is on; see FleetScheduler::WatchClosely(). */
   bool watched_ = false;
@@ -130,8 +130,8 @@
   /** CPU that backfill tasks may use, by image, in thousandths of a
    * processor. */
   std::map<std::string, std::int64_t> backfillImages_;
-  /** Cached fit of one more backfill task, by image; cleared on each change of
-   * the tasks on the worker. */
+  /** Cached fit of one more backfill task, by image; cleared whenever an input
+   * to it changes. */
   std::map<std::string, BackfillFit, std::less<>> fits_;
   /** Time at which the last backfill task of unknown effect on the serving
    * tasks started. */
@@ -148,10 +148,10 @@
   FleetRoom FreeWithout(std::int64_t aPriority) const
   {
     FleetRoom room = Free();
-    for (auto less = preemptible_.upper_bound(aPriority);
-         less != preemptible_.end();
-         ++less) {
-      AddTo(room, less->second, 1);
+    for (auto lower = preemptible_.upper_bound(aPriority);
+         lower != preemptible_.end();
+         ++lower) {
+      AddTo(room, lower->second, 1);
     }
     return room;
   }
@@ -183,10 +183,10 @@
     held_.erase(found);
   }
 
-  void Keep(const std::string& aTask, const KeptRoom& aKept)
+  void Keep(const std::string& aTask, const KeptRoom& aReservation)
   {
-    if (kept_.emplace(aTask, aKept).second) {
-      Add(aKept.room_, 1);
+    if (kept_.emplace(aTask, aReservation).second) {
+      Add(aReservation.room_, 1);
     }
   }
 
@@ -198,16 +198,16 @@
     if (found == kept_.end()) {
       return std::nullopt;
     }
-    KeptRoom kept = std::move(found->second);
+    KeptRoom reservation = std::move(found->second);
     kept_.erase(found);
-    Add(kept.room_, -1);
-    return kept;
+    Add(reservation.room_, -1);
+    return reservation;
   }
 
   void DropKept()
   {
-    for (const auto& [task, kept] : std::exchange(kept_, {})) {
-      Add(kept.room_, -1);
+    for (const auto& [task, reservation] : std::exchange(kept_, {})) {
+      Add(reservation.room_, -1);
     }
   }
 
--- a/Source/Process/JobIntake.h
+++ b/Source/Process/JobIntake.h
@@ -68,8 +68,9 @@
     Add(aJob, { CancelRowId(aJob), "1" }, aDeadline, std::move(aCallback));
   }
 
-  /** Whether the last call to the table failed less than kTrouble ago. */
-  bool InTrouble() const { return ReadMonotonicClock() < troubledUntil_; }
+  /** Whether the last call to the table failed less than kUnhealthyInterval
+   * ago. */
+  bool InTrouble() const { return ReadMonotonicClock() < unhealthyUntil_; }
 
   /** Time of the last successful write to the table. */
   Instant AnsweredAt() const { return answeredAt_; }
@@ -77,10 +78,10 @@
 private:
   /** Timeout of a write; an unanswered write is then repeated. */
   static constexpr Millis kCallTimeout{ 900 };
-  static constexpr Millis kRetryPause{ 60 };
+  static constexpr Millis kRetryInterval{ 60 };
   /** Interval after a failure in which other entries are asked to store
    * instead. */
-  static constexpr Millis kTrouble{ 1000 };
+  static constexpr Millis kUnhealthyInterval{ 1000 };
   /** Limits of one transaction; the table accepts 100 rows and 1 MB. */
   static constexpr std::size_t kMaxRows = 60;
   static constexpr std::size_t kMaxBytes = 600000;
@@ -90,7 +91,7 @@
     RowPut put_;
     Instant deadline_;
     Callback callback_;
-    bool doubted_ = false;
+    bool unknownOutcome_ = false;
   };
 
   struct Part
@@ -146,27 +147,27 @@
     const Instant now = ReadMonotonicClock();
     const bool done = aCommit.outcome_ == CommitOutcome::Done;
     answeredAt_ = done ? now : answeredAt_;
-    troubledUntil_ = done ? Instant() : now + kTrouble;
-    bool again = false;
+    unhealthyUntil_ = done ? Instant() : now + kUnhealthyInterval;
+    bool retry = false;
     for (Pending& pending : aBatch) {
       if (done) {
         pending.callback_(IntakeOutcome::Stored);
         continue;
       }
-      pending.doubted_ =
-        pending.doubted_ || aCommit.outcome_ == CommitOutcome::Doubt;
-      if (!pending.doubted_) {
+      pending.unknownOutcome_ =
+        pending.unknownOutcome_ || aCommit.outcome_ == CommitOutcome::Doubt;
+      if (!pending.unknownOutcome_) {
         pending.callback_(IntakeOutcome::NotStored);
-      } else if (now + kRetryPause >= pending.deadline_) {
+      } else if (now + kRetryInterval >= pending.deadline_) {
         pending.callback_(IntakeOutcome::InDoubt);
       } else {
         part.waiting_.push_front(std::move(pending));
-        again = true;
+        retry = true;
       }
     }
-    if (again) {
+    if (retry) {
       QTimer::singleShot(
-        kRetryPause, this, [this, aPart] { WriteNext(aPart); });
+        kRetryInterval, this, [this, aPart] { WriteNext(aPart); });
       return;
     }
     WriteNext(aPart);
@@ -174,7 +175,7 @@
 
   Store& store_;
   std::array<Part, kWorkParts> parts_;
-  Instant troubledUntil_;
+  Instant unhealthyUntil_;
   Instant answeredAt_;
 };
 
--- a/Source/Process/JobOrder.cxx
+++ b/Source/Process/JobOrder.cxx
@@ -9,7 +9,7 @@
 
 /** Multiple of a job's objective up to which a late result is useful, as
  * defined by the users' platform. */
-constexpr std::int64_t kOfUse = 3;
+constexpr std::int64_t kUsefulFactor = 3;
 
 }
 
@@ -37,12 +37,13 @@
   const auto objective =
     static_cast<std::int64_t>(static_cast<double>(aJob.latencyObjectiveMs_) +
                               aJob.stretch_ * aTimes.chainMs_);
-  const auto left = static_cast<std::int64_t>(aTimes.leftMs_);
-  if (objective <= 0 || aNowMs + left <= aTimes.dueMs_ + objective) {
-    return { JobOutlook::OfUse, aTimes.dueMs_ + objective - left };
+  const auto remaining = static_cast<std::int64_t>(aTimes.leftMs_);
+  if (objective <= 0 || aNowMs + remaining <= aTimes.dueMs_ + objective) {
+    return { JobOutlook::Useful, aTimes.dueMs_ + objective - remaining };
   }
-  if (aNowMs + left <= aTimes.dueMs_ + kOfUse * objective) {
-    return { JobOutlook::OfUse, aTimes.dueMs_ + kOfUse * objective - left };
+  if (aNowMs + remaining <= aTimes.dueMs_ + kUsefulFactor * objective) {
+    return { JobOutlook::Useful,
+             aTimes.dueMs_ + kUsefulFactor * objective - remaining };
   }
   return { JobOutlook::Overdue, aTimes.dueMs_ };
 }
--- a/Source/Process/JobOrder.h
+++ b/Source/Process/JobOrder.h
@@ -13,7 +13,7 @@
 enum class JobOutlook : std::uint8_t
 {
   /** The result can still be useful, in time or late. */
-  OfUse,
+  Useful,
   /** Long-running job with a waiting task that ran before. */
   Returning,
   /** Long-running job, which runs until it is cancelled. Placed before urgent
@@ -27,7 +27,7 @@
  * goes first. */
 struct JobRank
 {
-  JobOutlook outlook_ = JobOutlook::OfUse;
+  JobOutlook outlook_ = JobOutlook::Useful;
   /** Sort key within one outlook, in ms since 1970; the earliest goes first. */
   std::int64_t orderMs_ = 0;
 
--- a/Source/Process/Lane.cxx
+++ b/Source/Process/Lane.cxx
@@ -29,11 +29,11 @@
 /** Tick interval without requests: there are no deadlines to check, and each
  * wake-up costs CPU time. */
 constexpr Millis kIdleTick{ 100 };
-constexpr std::size_t kClaimsInGroup = 64;
+constexpr std::size_t kMaxClaimsPerBatch = 64;
 /** No minimum interval: a claim is sent immediately if no transaction is in
  * flight. */
 constexpr Millis kClaimsInterval{ 0 };
-constexpr Millis kClaimsPatience{ 50 };
+constexpr Millis kClaimsTimeout{ 50 };
 constexpr std::string_view kServicePrefix = "/s/";
 constexpr std::string_view kBearer = "Bearer ";
 
@@ -117,7 +117,7 @@
   }
 
   Result<bool> Open();
-  void Shut();
+  void Close();
   void OnHttp(const HttpExchange& aExchange);
   static void AnswerError(const HttpExchange& aExchange,
                           int aStatus,
@@ -150,7 +150,9 @@
   std::unique_ptr<EntryCore> core_;
   std::unique_ptr<HttpFront> front_;
   std::unique_ptr<TableClient> table_;
-  ClaimBatcher claims_{ { kClaimsInGroup, kClaimsInterval, kClaimsPatience } };
+  ClaimBatcher claims_{
+    { kMaxClaimsPerBatch, kClaimsInterval, kClaimsTimeout }
+  };
   std::unique_ptr<QTimer> tick_;
   RequestMeter meter_{ Metrics::OfProcess() };
   std::map<std::string, SideLink*> links_;
@@ -199,7 +201,7 @@
 }
 
 void
-Lane::Private::Shut()
+Lane::Private::Close()
 {
   tick_.reset();
   exchanges_.clear();
@@ -383,14 +385,14 @@
 void
 Lane::Private::SendClaims(const ClaimBatcher::Batch& aBatch)
 {
-  ClaimTransaction group(aBatch);
-  const TableTransaction transaction = group.Transaction();
-  table_->Transact(
-    transaction,
-    aBatch.deadline_,
-    [this, group = std::move(group)](const Result<TableOutcome>& aResult) {
-      OnClaimsEnded(group.Read(aResult, claims_));
-    });
+  ClaimTransaction claimTransaction(aBatch);
+  const TableTransaction transaction = claimTransaction.Transaction();
+  table_->Transact(transaction,
+                   aBatch.deadline_,
+                   [this, claimTransaction = std::move(claimTransaction)](
+                     const Result<TableOutcome>& aResult) {
+                     OnClaimsEnded(claimTransaction.Read(aResult, claims_));
+                   });
 }
 
 void
@@ -453,7 +455,7 @@
 {
   Private* raw = private_.get();
   QMetaObject::invokeMethod(
-    raw, [raw] { raw->Shut(); }, Qt::BlockingQueuedConnection);
+    raw, [raw] { raw->Close(); }, Qt::BlockingQueuedConnection);
   raw->thread_.quit();
   raw->thread_.wait();
 }
@@ -465,13 +467,13 @@
 }
 
 void
-Lane::Observe(const HeartbeatMessage& aHeartbeat, Instant aHeardAt)
+Lane::Observe(const HeartbeatMessage& aHeartbeat, Instant aReceivedAt)
 {
   Private* raw = private_.get();
   QMetaObject::invokeMethod(
     raw,
-    [raw, aHeartbeat, aHeardAt] {
-      raw->core_->OnHeartbeat(aHeartbeat, aHeardAt);
+    [raw, aHeartbeat, aReceivedAt] {
+      raw->core_->OnHeartbeat(aHeartbeat, aReceivedAt);
     },
     Qt::QueuedConnection);
 }
--- a/Source/Process/Lane.h
+++ b/Source/Process/Lane.h
@@ -40,7 +40,7 @@
    * by this process, so that a busy lane does not treat an unresponsive side as
    * alive for longer.
    */
-  void Observe(const HeartbeatMessage& aHeartbeat, Instant aHeardAt);
+  void Observe(const HeartbeatMessage& aHeartbeat, Instant aReceivedAt);
 
   /** Closes connections after their next answer, ahead of a planned stop. */
   void CloseAfterAnswers();
--- a/Source/Process/PlacementMisses.cxx
+++ b/Source/Process/PlacementMisses.cxx
@@ -6,7 +6,7 @@
 namespace cactusrail {
 
 bool
-PlacementMisses::IsPlain(const StepSpec& aStep)
+PlacementMisses::IsComparable(const StepSpec& aStep)
 {
   return !aStep.gang_ && !aStep.longRunning_ && aStep.maxPerWorker_ == 0;
 }
@@ -27,7 +27,7 @@
 void
 PlacementMisses::Add(const JobDescription& aJob, const StepSpec& aStep)
 {
-  if (IsPlain(aStep)) {
+  if (IsComparable(aStep)) {
     misses_.push_back(MissOf(aJob, aStep));
   }
 }
@@ -35,7 +35,7 @@
 bool
 PlacementMisses::Covers(const JobDescription& aJob, const StepSpec& aStep) const
 {
-  if (!IsPlain(aStep)) {
+  if (!IsComparable(aStep)) {
     return false;
   }
   const Miss wanted = MissOf(aJob, aStep);
--- a/Source/Process/PlacementMisses.h
+++ b/Source/Process/PlacementMisses.h
@@ -44,7 +44,7 @@
   static Miss MissOf(const JobDescription& aJob, const StepSpec& aStep);
   /** Whether the choice of a worker depends neither on other tasks of the step
    * nor on earlier runs of the task. */
-  static bool IsPlain(const StepSpec& aStep);
+  static bool IsComparable(const StepSpec& aStep);
 
   std::vector<Miss> misses_;
 };
--- a/Source/Process/RoomReservations.cxx
+++ b/Source/Process/RoomReservations.cxx
@@ -8,7 +8,7 @@
 
 /** Lifetime of a reservation. Placement passes are 10 to 50 ms apart, and
  * further apart on an overloaded host. */
-constexpr Millis kHolds{ 500 };
+constexpr Millis kLifetime{ 500 };
 
 }
 
@@ -17,9 +17,10 @@
                        std::string_view aJob,
                        Instant aNow)
 {
-  std::erase_if(
-    kept_, [aNow](const auto& aEntry) { return aNow >= aEntry.second.until_; });
-  kept_[aNode] = { std::string(aJob), aNow + kHolds };
+  std::erase_if(reservations_, [aNow](const auto& aEntry) {
+    return aNow >= aEntry.second.until_;
+  });
+  reservations_[aNode] = { std::string(aJob), aNow + kLifetime };
 }
 
 bool
@@ -27,15 +28,15 @@
                              std::string_view aNode,
                              Instant aNow) const
 {
-  const auto found = kept_.find(aNode);
-  return found != kept_.end() && aNow < found->second.until_ &&
+  const auto found = reservations_.find(aNode);
+  return found != reservations_.end() && aNow < found->second.until_ &&
          found->second.job_ != aJob;
 }
 
 std::string_view
 RoomReservations::NodeOf(std::string_view aJob, Instant aNow) const
 {
-  for (const auto& [node, reservation] : kept_) {
+  for (const auto& [node, reservation] : reservations_) {
     if (reservation.job_ == aJob && aNow < reservation.until_) {
       return node;
     }
@@ -46,8 +47,8 @@
 std::size_t
 RoomReservations::Count(Instant aNow) const
 {
-  return static_cast<std::size_t>(
-    std::count_if(kept_.begin(), kept_.end(), [aNow](const auto& aEntry) {
+  return static_cast<std::size_t>(std::count_if(
+    reservations_.begin(), reservations_.end(), [aNow](const auto& aEntry) {
       return aNow < aEntry.second.until_;
     }));
 }
--- a/Source/Process/RoomReservations.h
+++ b/Source/Process/RoomReservations.h
@@ -40,7 +40,7 @@
   };
 
   /** Reservations by the worker's side. */
-  std::map<std::string, Reservation, std::less<>> kept_;
+  std::map<std::string, Reservation, std::less<>> reservations_;
 };
 
 }
--- a/Source/Process/StandingRoom.cxx
+++ b/Source/Process/StandingRoom.cxx
@@ -10,19 +10,19 @@
 
 /** Time constant of the decay, in ms: demand of this age counts 1/e of current
  * demand. */
-constexpr double kFadeMs = 15000;
+constexpr double kDecayMs = 15000;
 /** Minimum interval over which a rate is computed, in ms. */
-constexpr double kLeastSpanMs = 2000;
+constexpr double kMinSpanMs = 2000;
 /** Ratio of the processors left to short work to those that it would keep
  * busy. */
-constexpr double kSpare = 1.3;
+constexpr double kSpareFactor = 1.3;
 /** The same ratio after a task found no capacity: free capacity is fragmented
  * over many workers, and large tasks need large fragments. */
-constexpr double kSpareWhenMissed = 2.5;
-/** Interval for which kSpareWhenMissed applies after a miss. */
-constexpr Millis kMissMemory{ 15000 };
+constexpr double kSpareFactorAfterMiss = 2.5;
+/** Interval for which kSpareFactorAfterMiss applies after a miss. */
+constexpr Millis kMissRetention{ 15000 };
 /** Share of the capacity that long-running jobs may always use. */
-constexpr double kLeastShare = 0.6;
+constexpr double kMinLongRunningShare = 0.6;
 
 double
 MillisBetween(Instant aFrom, Instant aTo)
@@ -33,16 +33,16 @@
 }
 
 double
-StandingRoom::Asked::FadedAt(Instant aNow) const
+StandingRoom::Demand::DecayedAt(Instant aNow) const
 {
-  return cpuMilliMs_ * std::exp(-MillisBetween(addedAt_, aNow) / kFadeMs);
+  return cpuMilliMs_ * std::exp(-MillisBetween(addedAt_, aNow) / kDecayMs);
 }
 
 double
-StandingRoom::Asked::RateAt(Instant aNow) const
+StandingRoom::Demand::RateAt(Instant aNow) const
 {
-  const double span = std::max(kLeastSpanMs, MillisBetween(since_, aNow));
-  return FadedAt(aNow) / (kFadeMs * (1 - std::exp(-span / kFadeMs)));
+  const double span = std::max(kMinSpanMs, MillisBetween(since_, aNow));
+  return DecayedAt(aNow) / (kDecayMs * (1 - std::exp(-span / kDecayMs)));
 }
 
 void
@@ -52,13 +52,13 @@
                       Instant aNow)
 {
   const auto [entry, isNew] =
-    asked_.try_emplace({ std::string(aService), aPriority });
-  Asked& asked = entry->second;
+    demands_.try_emplace({ std::string(aService), aPriority });
+  Demand& asked = entry->second;
   if (isNew) {
     asked.since_ = aNow;
     asked.addedAt_ = aNow;
   }
-  asked.cpuMilliMs_ = asked.FadedAt(aNow) + aCpuMilliMs;
+  asked.cpuMilliMs_ = asked.DecayedAt(aNow) + aCpuMilliMs;
   asked.addedAt_ = aNow;
 }
 
@@ -67,31 +67,31 @@
                        std::int64_t aPriority,
                        Instant aNow)
 {
-  const auto found = asked_.find({ std::string(aService), aPriority });
-  if (found != asked_.end()) {
+  const auto found = demands_.find({ std::string(aService), aPriority });
+  if (found != demands_.end()) {
     found->second.missedAt_ = aNow;
   }
 }
 
 bool
-StandingRoom::MissedLately(std::string_view aService,
-                           std::int64_t aPriority,
-                           Instant aNow) const
+StandingRoom::MissedRecently(std::string_view aService,
+                             std::int64_t aPriority,
+                             Instant aNow) const
 {
-  return std::any_of(asked_.begin(), asked_.end(), [&](const auto& aEntry) {
+  return std::any_of(demands_.begin(), demands_.end(), [&](const auto& aEntry) {
     const std::optional<Instant>& missedAt = aEntry.second.missedAt_;
     return aEntry.first.first == aService && aEntry.first.second <= aPriority &&
-           missedAt.has_value() && aNow - *missedAt < kMissMemory;
+           missedAt.has_value() && aNow - *missedAt < kMissRetention;
   });
 }
 
 double
-StandingRoom::AskedCpuMilli(std::string_view aService,
-                            std::int64_t aPriority,
-                            Instant aNow) const
+StandingRoom::DemandCpuMilli(std::string_view aService,
+                             std::int64_t aPriority,
+                             Instant aNow) const
 {
   double sum = 0;
-  for (const auto& [key, asked] : asked_) {
+  for (const auto& [key, asked] : demands_) {
     if (key.first == aService && key.second <= aPriority) {
       sum += asked.RateAt(aNow);
     }
@@ -106,10 +106,11 @@
                            Instant aNow) const
 {
   const auto capacity = static_cast<double>(aCapacityMilli);
-  const double times =
-    MissedLately(aService, aPriority, aNow) ? kSpareWhenMissed : kSpare;
-  const double spare = times * AskedCpuMilli(aService, aPriority, aNow);
-  return std::max(kLeastShare * capacity, capacity - spare);
+  const double factor = MissedRecently(aService, aPriority, aNow)
+                          ? kSpareFactorAfterMiss
+                          : kSpareFactor;
+  const double spare = factor * DemandCpuMilli(aService, aPriority, aNow);
+  return std::max(kMinLongRunningShare * capacity, capacity - spare);
 }
 
 }
--- a/Source/Process/StandingRoom.h
+++ b/Source/Process/StandingRoom.h
@@ -39,9 +39,9 @@
   /** Returns the recent demand of short work of this and more urgent
    * priorities: the thousandths of processors that it would have kept busy if
    * it had run at once. */
-  double AskedCpuMilli(std::string_view aService,
-                       std::int64_t aPriority,
-                       Instant aNow) const;
+  double DemandCpuMilli(std::string_view aService,
+                        std::int64_t aPriority,
+                        Instant aNow) const;
 
   /** Returns the limit of the processors that long-running jobs may use of a
    * service's capacity, both in thousandths. */
@@ -52,7 +52,7 @@
 
 private:
   /** Sum of demand that decays exponentially with time. */
-  struct Asked
+  struct Demand
   {
     double cpuMilliMs_ = 0;
     Instant since_;
@@ -60,15 +60,15 @@
     /** Time at which a task last found no capacity; none if all did. */
     std::optional<Instant> missedAt_;
 
-    double FadedAt(Instant aNow) const;
+    double DecayedAt(Instant aNow) const;
     double RateAt(Instant aNow) const;
   };
 
-  bool MissedLately(std::string_view aService,
-                    std::int64_t aPriority,
-                    Instant aNow) const;
+  bool MissedRecently(std::string_view aService,
+                      std::int64_t aPriority,
+                      Instant aNow) const;
 
-  std::map<std::pair<std::string, std::int64_t>, Asked> asked_;
+  std::map<std::pair<std::string, std::int64_t>, Demand> demands_;
 };
 
 }
--- a/Source/Process/StepSegments.cxx
+++ b/Source/Process/StepSegments.cxx
@@ -23,10 +23,10 @@
 std::optional<std::uint64_t>
 ReadBase36(const std::string& aText)
 {
-  bool good = false;
+  bool isNumber = false;
   const std::uint64_t number =
-    QString::fromStdString(aText).toULongLong(&good, kBase);
-  return good ? std::optional(number) : std::nullopt;
+    QString::fromStdString(aText).toULongLong(&isNumber, kBase);
+  return isNumber ? std::optional(number) : std::nullopt;
 }
 
 auto
--- a/Source/Process/StepSegments.h
+++ b/Source/Process/StepSegments.h
@@ -18,7 +18,7 @@
  * so that no search is needed.
  */
 
-/** Length of the slots in which an entry, and a side, store their steps. */
+/** Intervals at which an entry and a side store their steps; one slot each. */
 constexpr Millis kEntrySlot{ 2000 };
 constexpr Millis kSideSlot{ 30000 };
 
--- a/Source/Process/WorkerChoice.cxx
+++ b/Source/Process/WorkerChoice.cxx
@@ -11,50 +11,50 @@
  * Minimum share of its processors with which backfill starts. Below this share,
  * more tasks slow down all of them and none completes sooner.
  */
-constexpr double kLeastBackfillShare = 0.8;
+constexpr double kMinBackfillShare = 0.8;
 
 /** Assumed share of their declared processors that serving tasks use; the
  * actual use is not reported. Higher use shows as a lower share of CPU for
  * backfill. */
-constexpr double kServingUse = 0.6;
+constexpr double kServingUseShare = 0.6;
 /** Minimum ratio of CPU used to CPU requested by the backfill on a worker;
  * below it, no more backfill starts there. */
-constexpr double kSaturated = 0.7;
+constexpr double kMinUsedShare = 0.7;
 
 /** Minimum speed at which backfill starts. After a slower start it would miss a
  * better worker that becomes free soon. */
-constexpr double kLeastSpeed = 0.25;
+constexpr double kMinBackfillSpeed = 0.25;
 /** Minimum interval between starts, on one worker, of backfill of unknown
  * effect beside serving tasks. */
-constexpr Millis kTryEvery{ 800 };
+constexpr Millis kTrialInterval{ 800 };
 /** Speed assumed for starving backfill on workers where it may not run at
  * all. */
-constexpr double kCrawl = 0.02;
+constexpr double kAssumedSpeed = 0.02;
 /** CPU share assumed for starving backfill on workers without free
  * processors. */
-constexpr double kLeastShare = 0.05;
+constexpr double kAssumedShare = 0.05;
 /** Cost of a worker with paused backfill, for starving backfill: the same as
- * for the speed kCrawl, so that such a worker is a last resort. */
-constexpr double kAtRest = 1 / kCrawl;
+ * for the speed kAssumedSpeed, so that such a worker is a last resort. */
+constexpr double kPausedCost = 1 / kAssumedSpeed;
 
 /** Weights of the choice, as multiples of the duration of a task. */
-constexpr double kBesideServing = 0.2;
-constexpr double kUnknownFit = 1.0;
+constexpr double kBesideServingCost = 0.2;
+constexpr double kUnknownFitCost = 1.0;
 /** Added for each serving task that would suffer if the backfill turns out to
  * be harmful. */
-constexpr double kTriedBeside = 0.3;
-constexpr double kAvoided = 20;
+constexpr double kTrialCostPerServing = 0.3;
+constexpr double kAvoidedCost = 20;
 
 /** Cost of a worker for a serving task; a worker without serving tasks costs
  * 1. */
-constexpr double kSameImage = 0.5;
-constexpr double kOtherImage = 0.7;
-constexpr double kSpread = 0.1;
+constexpr double kSameImageCost = 0.5;
+constexpr double kOtherImageCost = 0.7;
+constexpr double kUsedShareWeight = 0.1;
 
 bool
-Contains(std::span<const std::string> aList, std::string_view aWord)
+Contains(std::span<const std::string> aList, std::string_view aText)
 {
-  return std::find(aList.begin(), aList.end(), aWord) != aList.end();
+  return std::find(aList.begin(), aList.end(), aText) != aList.end();
 }
 
 double
@@ -79,7 +79,7 @@
 BackfillShare(const FleetWorker& aWorker, std::int64_t aCpuMilli)
 {
   const double unused =
-    (1 - kServingUse) * static_cast<double>(aWorker.servingCpuMilli_);
+    (1 - kServingUseShare) * static_cast<double>(aWorker.servingCpuMilli_);
   const double left = static_cast<double>(aWorker.Free().cpuMilli_) + unused;
   const auto wanted =
     static_cast<double>(aWorker.backfillCpuMilli_ + aCpuMilli);
@@ -105,7 +105,7 @@
   return factor;
 }
 
-constexpr double kNever = std::numeric_limits<double>::infinity();
+constexpr double kIneligibleCost = std::numeric_limits<double>::infinity();
 
 double
 BackfillCost(const WorkerOption& aOption, const ChoiceFacts& aFacts)
@@ -114,24 +114,25 @@
   const double share = BackfillShare(worker, aFacts.step_->cpuMilli_);
   const BackfillFit& fit = aOption.fit_;
   if (aFacts.starving_) {
-    const double cost =
-      1 / std::max(fit.speed_, kCrawl) + 1 / std::max(share, kLeastShare);
-    return worker.backfillPaused_ ? cost + kAtRest : cost;
+    const double cost = 1 / std::max(fit.speed_, kAssumedSpeed) +
+                        1 / std::max(share, kAssumedShare);
+    return worker.backfillPaused_ ? cost + kPausedCost : cost;
   }
-  if (share < kLeastBackfillShare || worker.backfillShare_ < kSaturated ||
-      worker.backfillPaused_ || fit.speed_ < kLeastSpeed) {
-    return kNever;
+  if (share < kMinBackfillShare || worker.backfillShare_ < kMinUsedShare ||
+      worker.backfillPaused_ || fit.speed_ < kMinBackfillSpeed) {
+    return kIneligibleCost;
   }
   const double cost = 1 / (share * fit.speed_) + UsedShare(worker) * 0.5;
   if (worker.serving_ == 0) {
     return cost;
   }
   if (!fit.known_) {
-    const bool mayTry = aFacts.now_ - worker.triedAt_ > kTryEvery;
-    return mayTry ? cost + kUnknownFit + kTriedBeside * worker.serving_
-                  : kNever;
+    const bool mayStartTrial = aFacts.now_ - worker.triedAt_ > kTrialInterval;
+    return mayStartTrial
+             ? cost + kUnknownFitCost + kTrialCostPerServing * worker.serving_
+             : kIneligibleCost;
   }
-  return fit.harmless_ ? cost + kBesideServing : kNever;
+  return fit.harmless_ ? cost + kBesideServingCost : kIneligibleCost;
 }
 
 /**
@@ -151,7 +152,8 @@
     aWorker.servingGroups_.begin(),
     aWorker.servingGroups_.end(),
     [&aImage](const auto& aEntry) { return aEntry.first.image_ == aImage; });
-  return (same ? kSameImage : kOtherImage) + kSpread * UsedShare(aWorker);
+  return (same ? kSameImageCost : kOtherImageCost) +
+         kUsedShareWeight * UsedShare(aWorker);
 }
 
 double
@@ -169,13 +171,13 @@
   }
   cost *= DistanceFactor(worker, aFacts) * worker.slowness_;
   if (Contains(aFacts.avoid_, worker.node_)) {
-    cost += kAvoided;
+    cost += kAvoidedCost;
   }
   return cost;
 }
 
 bool
-IsSetAside(const WorkerOption& aOption, Instant aNow)
+IsCordoned(const WorkerOption& aOption, Instant aNow)
 {
   return aOption.setAside_ || aNow < aOption.worker_->avoidUntil_;
 }
@@ -186,11 +188,11 @@
  * failures for a minute.
  */
 bool
-AnyTrusted(std::span<const WorkerOption> aOptions, const ChoiceFacts& aFacts)
+AnyUncordoned(std::span<const WorkerOption> aOptions, const ChoiceFacts& aFacts)
 {
   return std::any_of(
     aOptions.begin(), aOptions.end(), [&aFacts](const WorkerOption& aOption) {
-      return MayRunOn(aOption, aFacts) && !IsSetAside(aOption, aFacts.now_);
+      return MayRunOn(aOption, aFacts) && !IsCordoned(aOption, aFacts.now_);
     });
 }
 
@@ -242,7 +244,7 @@
 }
 
 bool
-HasRoomFor(const FleetWorker& aWorker, const FleetRoom& aRoom)
+HasCapacityFor(const FleetWorker& aWorker, const FleetRoom& aRoom)
 {
   const FleetRoom free = aWorker.Free();
   return free.cpuMilli_ >= aRoom.cpuMilli_ &&
@@ -255,16 +257,16 @@
 std::optional<std::size_t>
 BestOf(std::span<const WorkerOption> aOptions,
        const ChoiceFacts& aFacts,
-       bool aTrustedOnly)
+       bool aUncordonedOnly)
 {
   const FleetRoom room = FixedRoomOf(*aFacts.step_);
   std::optional<std::size_t> best;
-  double bestCost = kNever;
+  double bestCost = kIneligibleCost;
   for (std::size_t i = 0; i < aOptions.size(); ++i) {
     const FleetWorker& worker = *aOptions[i].worker_;
-    if (!MayRunOn(aOptions[i], aFacts) || !HasRoomFor(worker, room) ||
+    if (!MayRunOn(aOptions[i], aFacts) || !HasCapacityFor(worker, room) ||
         aFacts.now_ < worker.fullUntil_ ||
-        (aTrustedOnly && IsSetAside(aOptions[i], aFacts.now_))) {
+        (aUncordonedOnly && IsCordoned(aOptions[i], aFacts.now_))) {
       continue;
     }
     const double cost = CostOn(aOptions[i], aFacts);
@@ -281,9 +283,10 @@
 std::optional<std::size_t>
 ChooseWorker(std::span<const WorkerOption> aOptions, const ChoiceFacts& aFacts)
 {
-  const auto trusted = BestOf(aOptions, aFacts, AnyTrusted(aOptions, aFacts));
-  if (trusted.has_value() || !aFacts.step_->longRunning_) {
-    return trusted;
+  const auto uncordoned =
+    BestOf(aOptions, aFacts, AnyUncordoned(aOptions, aFacts));
+  if (uncordoned.has_value() || !aFacts.step_->longRunning_) {
+    return uncordoned;
   }
   // A long-running task has no limited number of attempts. If all other workers
   // are full, it tries a cordoned worker rather than wait.
--- a/Source/Process/WorkerChoice.h
+++ b/Source/Process/WorkerChoice.h
@@ -28,7 +28,8 @@
   bool starving_ = false;
 };
 
-/** Candidate worker for a task. */
+/** Candidate worker for a task, with the number of tasks of the same step that
+ * run on it. */
 struct WorkerOption
 {
   const FleetWorker* worker_ = nullptr;
@@ -41,7 +42,8 @@
   BackfillFit fit_;
 };
 
-/** Returns the resources that a task of the step reserves on its worker. */
+/** Returns the resources that a task of the step reserves on its worker;
+ * backfill reserves no processors. */
 FleetRoom
 FixedRoomOf(const StepSpec& aStep);
 
@@ -57,7 +59,7 @@
 
 /** Whether the free capacity of the worker is sufficient. */
 bool
-HasRoomFor(const FleetWorker& aWorker, const FleetRoom& aRoom);
+HasCapacityFor(const FleetWorker& aWorker, const FleetRoom& aRoom);
 
 /**
  * Returns the index of the best worker for a task; none if the task should
--- a/Tests/Fleet/JobOrderTest.cxx
+++ b/Tests/Fleet/JobOrderTest.cxx
@@ -30,7 +30,7 @@
 // Guards against a backlog of 10 s of work that delays new jobs in order of
 // arrival. A new job is in time if it starts within 3 s, whereas the jobs at
 // the head of the queue are late already and stay useful for seconds.
-Test(JobOrder, WhatIsLateLetsThatPassWhichCanBeInTime)
+Test(JobOrder, JobThatCanBeInTimeGoesBeforeLateJob)
 {
   const JobRank waited = RankAfter(0, 6000);
   const JobRank fresh = RankAfter(5500, 6000);
@@ -39,7 +39,7 @@
 
 // A late job whose result soon loses its use goes before a job that has all of
 // its time left.
-Test(JobOrder, LateJobGoesWhileItIsStillOfUse)
+Test(JobOrder, LateJobNearItsUseLimitGoesFirst)
 {
   const JobRank almostOver = RankAfter(0, 12500);
   const JobRank fresh = RankAfter(12000, 12500);
@@ -59,7 +59,7 @@
 
 // A step waits for the step before it, so the chain is the sum of both.
 // Completed steps count as 0.
-Test(JobOrder, ChainIsTheLongestPathOfWhatIsLeft)
+Test(JobOrder, ChainIsTheLongestRemainingPath)
 {
   JobDescription job = BatchJob();
   job.steps_.push_back(job.steps_.front());
@@ -73,7 +73,7 @@
 
 // Checks the order in the scheduler: one worker with capacity for one task, a
 // backlog of late jobs, and a new job that can be in time.
-Test(JobOrder, FreshJobIsPlacedBeforeTheBacklog)
+Test(JobOrder, NewJobIsPlacedBeforeTheBacklog)
 {
   FleetWorld world(1, { 1000, 64000, 0 });
   world.Run(Millis(1500));
@@ -94,7 +94,7 @@
 // Guards against long-running watchers that take the capacity which another
 // watcher frees, before urgent jobs. In order of arrival, no urgent job was in
 // time for as long as the fleet was full.
-Test(JobOrder, UrgentWorkTakesTheRoomThatAWatcherLeaves)
+Test(JobOrder, UrgentJobStartsBeforeWaitingWatchers)
 {
   FleetWorld world(1, { 10000, 64000, 0 });
   world.Run(Millis(1500));
--- a/Tests/Fleet/PlacementMissesTest.cxx
+++ b/Tests/Fleet/PlacementMissesTest.cxx
@@ -11,7 +11,7 @@
 namespace {
 
 JobDescription
-Asking(std::int64_t aPriority, std::int64_t aCpuMilli)
+JobRequesting(std::int64_t aPriority, std::int64_t aCpuMilli)
 {
   JobDescription job = MakeJob("job", 1, aCpuMilli);
   job.priority_ = aPriority;
@@ -19,52 +19,52 @@
 }
 
 bool
-Covered(const PlacementMisses& aMisses, const JobDescription& aJob)
+IsCovered(const PlacementMisses& aMisses, const JobDescription& aJob)
 {
   return aMisses.Covers(aJob, aJob.steps_.front());
 }
 
 }
 
-Test(PlacementMisses, CoversWhatAsksForAsMuchOrMore)
+Test(PlacementMisses, CoversStepsThatRequestAsMuchOrMore)
 {
   PlacementMisses misses;
-  const JobDescription missed = Asking(1, 2000);
+  const JobDescription missed = JobRequesting(1, 2000);
   misses.Add(missed, missed.steps_.front());
-  cr_assert(Covered(misses, Asking(1, 2000)));
-  cr_assert(Covered(misses, Asking(2, 3000)));
-  cr_assert_not(Covered(misses, Asking(1, 1999)));
+  cr_assert(IsCovered(misses, JobRequesting(1, 2000)));
+  cr_assert(IsCovered(misses, JobRequesting(2, 3000)));
+  cr_assert_not(IsCovered(misses, JobRequesting(1, 1999)));
   // A more urgent job may preempt more tasks.
-  cr_assert_not(Covered(misses, Asking(0, 2000)));
+  cr_assert_not(IsCovered(misses, JobRequesting(0, 2000)));
   misses.Clear();
-  cr_assert_not(Covered(misses, Asking(1, 2000)));
+  cr_assert_not(IsCovered(misses, JobRequesting(1, 2000)));
 }
 
-Test(PlacementMisses, CoversOnlyWhatMayRunOnTheSameWorkers)
+Test(PlacementMisses, CoversOnlyStepsForTheSameWorkers)
 {
   PlacementMisses misses;
-  const JobDescription missed = Asking(1, 2000);
+  const JobDescription missed = JobRequesting(1, 2000);
   misses.Add(missed, missed.steps_.front());
   JobDescription other = missed;
   other.service_ = "other";
-  cr_assert_not(Covered(misses, other));
+  cr_assert_not(IsCovered(misses, other));
   other = missed;
   other.steps_.front().requiredLabel_ = "ssd";
-  cr_assert_not(Covered(misses, other));
+  cr_assert_not(IsCovered(misses, other));
   other = missed;
   other.steps_.front().backfill_ = true;
-  cr_assert_not(Covered(misses, other));
+  cr_assert_not(IsCovered(misses, other));
   other = missed;
   other.steps_.front().longRunning_ = true;
-  cr_assert_not(Covered(misses, other));
+  cr_assert_not(IsCovered(misses, other));
   other = missed;
   other.steps_.front().maxPerWorker_ = 1;
-  cr_assert_not(Covered(misses, other));
+  cr_assert_not(IsCovered(misses, other));
 }
 
 // Guards against a leader that falls behind with a backlog in a full fleet: it
 // scanned all workers and their runs for each waiting step in each pass.
-Test(PlacementMisses, BacklogOfEqualStepsCostsOneLookAPass)
+Test(PlacementMisses, EqualStepsShareTheScansOfAPass)
 {
   FleetWorld world(8);
   world.Run(Millis(1500));
--- a/Tests/Fleet/StandingRoomTest.cxx
+++ b/Tests/Fleet/StandingRoomTest.cxx
@@ -83,7 +83,7 @@
 // Guards against long-running watchers that take all capacity which is free for
 // a moment. When they arrived in a fleet that they nearly filled, quotes waited
 // for 20 s.
-Test(StandingRoom, QuotesFindRoomWhenNewWatchersArrive)
+Test(StandingRoom, QuotesStartWhenNewWatchersArrive)
 {
   SharedFleet fleet;
   fleet.RunWithQuotes(Millis(5000));
@@ -102,7 +102,7 @@
   cr_assert_not(fleet.world_.Said("standing-held-back").empty());
 }
 
-Test(StandingRoom, HeldBackWatcherStartsWhenAnotherEnds)
+Test(StandingRoom, DeferredWatcherStartsWhenAnotherEnds)
 {
   SharedFleet fleet;
   fleet.RunWithQuotes(Millis(5000));
@@ -115,7 +115,7 @@
   cr_assert_eq(fleet.NewWatchersStarted(), before + 2);
 }
 
-Test(StandingRoom, WatchersTakeAllRoomThatNobodyElseAsksFor)
+Test(StandingRoom, WatchersUseAllCapacityWithoutShortWork)
 {
   SharedFleet fleet;
   fleet.SubmitNewWatchers();
@@ -125,7 +125,7 @@
 
 // Guards against a watcher that does not restart after a loss of power, because
 // the new leader defers it for quotes submitted since it started.
-Test(StandingRoom, WatcherThatHasRunIsNotHeldBackByTheNextLeader)
+Test(StandingRoom, StartedWatcherIsNotDeferredByTheNextLeader)
 {
   SharedFleet fleet;
   fleet.SubmitNewWatchers();
@@ -148,7 +148,7 @@
   }
 }
 
-Test(StandingRoom, RateIsWhatWasAskedForLately)
+Test(StandingRoom, RateFollowsRecentDemand)
 {
   StandingRoom room;
   std::int64_t now = 0;
@@ -157,14 +157,14 @@
   for (; now < 20000; now += 100) {
     room.OnAsked("service", 0, 2000.0 * 100, At(now));
   }
-  const double asked = room.AskedCpuMilli("service", 0, At(now));
+  const double asked = room.DemandCpuMilli("service", 0, At(now));
   cr_assert_gt(asked, 1900);
   cr_assert_lt(asked, 2100);
-  cr_assert_eq(room.AskedCpuMilli("other", 0, At(now)), 0);
-  cr_assert_lt(room.AskedCpuMilli("service", 0, At(now + 60000)), 100);
+  cr_assert_eq(room.DemandCpuMilli("other", 0, At(now)), 0);
+  cr_assert_lt(room.DemandCpuMilli("service", 0, At(now + 60000)), 100);
 }
 
-Test(StandingRoom, LessUrgentWorkHoldsNothingBack)
+Test(StandingRoom, LessUrgentDemandDefersNothing)
 {
   StandingRoom room;
   room.OnAsked("service", 2, 64000.0 * 10000, At(0));
@@ -175,7 +175,7 @@
 // Guards against watchers that are deferred although short work always finds
 // capacity: only a miss raises the share left to short work, and only for a
 // limited time.
-Test(StandingRoom, MoreIsLeftOnceShortWorkFoundNoRoom)
+Test(StandingRoom, MissRaisesTheShareLeftToShortWork)
 {
   StandingRoom room;
   room.OnAsked("service", 0, 10000.0 * 2000, At(0));
--- a/Tests/Fleet/WorkerChoiceTest.cxx
+++ b/Tests/Fleet/WorkerChoiceTest.cxx
@@ -48,7 +48,7 @@
 // Guards against a start beside an unknown run. The run uses resources of
 // unknown size, so the start may exceed the capacity of a worker that does not
 // enforce it.
-Test(WorkerChoice, NothingStartsBesideAStranger)
+Test(WorkerChoice, NothingStartsBesideAnUnknownRun)
 {
   FleetWorker worker = Worker("w");
   WorkerOption option;
@@ -61,7 +61,7 @@
 
 // A step allows at most two of its tasks per worker, so that the loss of a
 // worker stops no more of them.
-Test(WorkerChoice, NoMoreTasksOfAStepThanItAllows)
+Test(WorkerChoice, TasksPerWorkerAreLimited)
 {
   FleetWorker worker = Worker("w");
   WorkerOption option;
--- a/Tests/Unit/StepSegmentsTest.cxx
+++ b/Tests/Unit/StepSegmentsTest.cxx
@@ -7,7 +7,7 @@
 
 using namespace cactusrail;
 
-Test(StepSegments, AnIdLeadsToItsSegment)
+Test(StepSegments, RequestIdGivesSegmentName)
 {
   const RequestOrigin origin{ "entry-a-7", 1764700000000000, 4321 };
   const std::string id = MakeRequestId(origin, 3, 99);
@@ -19,7 +19,7 @@
   cr_assert(EntrySegmentName(*read) == EntrySegmentName(origin));
 }
 
-Test(StepSegments, RefusesWhatIsNoId)
+Test(StepSegments, RejectsInvalidIds)
 {
   for (const char* text :
        { "", "-", "----", "a-b", "e-!-0-1-1", "-1-0-1-1", "e-1-0-~-1" }) {
@@ -27,7 +27,7 @@
   }
 }
 
-Test(StepSegments, LinesThatCannotBeReadAreLeftOut)
+Test(StepSegments, SkipsInvalidLines)
 {
   RequestStep step;
   step.requestId_ = "r1";
@@ -40,7 +40,7 @@
 
 // Guards against steps of other requests in the result of a query for one
 // request, in particular of a request whose id has the queried id as a prefix.
-Test(StepSegments, ReadsOneRequestAlone)
+Test(StepSegments, ReadsStepsOfOneRequestOnly)
 {
   RequestStep one;
   one.requestId_ = "e-1-0-1-1";
@@ -53,7 +53,7 @@
   cr_assert(read.front().requestId_ == "e-1-0-1-1");
 }
 
-Test(Journal, GivesEachNewStepOnce)
+Test(Journal, ReturnsEachNewStepOnce)
 {
   Journal journal("entry/e", 100);
   RequestStep step;
