--- a/Source/Process/Lane.cxx
+++ b/Source/Process/Lane.cxx
@@ -26,12 +26,14 @@
 namespace {
 
 constexpr Millis kTick{ 10 };
-/** Without a request there is no deadline to keep, and waking costs. */
+/** Tick interval without requests: there are no deadlines to check, and each
+ * wake-up costs CPU time. */
 constexpr Millis kIdleTick{ 100 };
-constexpr std::size_t kClaimsInGroup = 64;
-/** None: a claim that finds no transaction under way goes at once. */
+constexpr std::size_t kMaxClaimsPerBatch = 64;
+/** No minimum interval: a claim is sent immediately if no transaction is in
+ * flight. */
 constexpr Millis kClaimsInterval{ 0 };
-constexpr Millis kClaimsPatience{ 50 };
+constexpr Millis kClaimsTimeout{ 50 };
 constexpr std::string_view kServicePrefix = "/s/";
 constexpr std::string_view kBearer = "Bearer ";
 
@@ -58,7 +60,7 @@
   return escaped;
 }
 
-/** The answer to a caller, ours or the upstream's. */
+/** Converts the entry's own answer or the upstream's to HTTP. */
 HttpAnswer
 ToHttp(const AnswerCaller& aAnswer)
 {
@@ -115,7 +117,7 @@
   }
 
   Result<bool> Open();
-  void Shut();
+  void Close();
   void OnHttp(const HttpExchange& aExchange);
   static void AnswerError(const HttpExchange& aExchange,
                           int aStatus,
@@ -133,7 +135,8 @@
 
   EntrySettings settings_;
   std::uint16_t port_;
-  /** Request ids are unique over entries, restarts and lanes. */
+  /** Origin of request ids, which are unique across entries, restarts and
+   * lanes. */
   RequestOrigin origin_;
   std::int64_t laneNumber_;
   ConfigurationHolder& configuration_;
@@ -143,11 +146,13 @@
   std::atomic<std::size_t> inProgress_{ 0 };
   std::atomic<bool> drained_{ false };
 
-  // Made and destroyed in the lane's thread.
+  // Created and destroyed in the lane's thread.
   std::unique_ptr<EntryCore> core_;
   std::unique_ptr<HttpFront> front_;
   std::unique_ptr<TableClient> table_;
-  ClaimBatcher claims_{ { kClaimsInGroup, kClaimsInterval, kClaimsPatience } };
+  ClaimBatcher claims_{
+    { kMaxClaimsPerBatch, kClaimsInterval, kClaimsTimeout }
+  };
   std::unique_ptr<QTimer> tick_;
   RequestMeter meter_{ Metrics::OfProcess() };
   std::map<std::string, SideLink*> links_;
@@ -196,7 +201,7 @@
 }
 
 void
-Lane::Private::Shut()
+Lane::Private::Close()
 {
   tick_.reset();
   exchanges_.clear();
@@ -380,21 +385,22 @@
 void
 Lane::Private::SendClaims(const ClaimBatcher::Batch& aBatch)
 {
-  ClaimTransaction group(aBatch);
-  const TableTransaction transaction = group.Transaction();
-  table_->Transact(
-    transaction,
-    aBatch.deadline_,
-    [this, group = std::move(group)](const Result<TableOutcome>& aResult) {
-      OnClaimsEnded(group.Read(aResult, claims_));
-    });
+  ClaimTransaction claimTransaction(aBatch);
+  const TableTransaction transaction = claimTransaction.Transaction();
+  table_->Transact(transaction,
+                   aBatch.deadline_,
+                   [this, claimTransaction = std::move(claimTransaction)](
+                     const Result<TableOutcome>& aResult) {
+                     OnClaimsEnded(claimTransaction.Read(aResult, claims_));
+                   });
 }
 
 void
 Lane::Private::OnClaimsEnded(const std::vector<ClaimBatcher::Ended>& aEnded)
 {
   const Instant now = ReadMonotonicClock();
-  // All of them before the first action: what they write next is one group.
+  // Collects the actions of all claims first, so that their next writes form
+  // one batch.
   std::vector<EntryAction> actions;
   for (const ClaimBatcher::Ended& ended : aEnded) {
     std::vector<EntryAction> next = core_->OnClaimWritten(
@@ -449,7 +455,7 @@
 {
   Private* raw = private_.get();
   QMetaObject::invokeMethod(
-    raw, [raw] { raw->Shut(); }, Qt::BlockingQueuedConnection);
+    raw, [raw] { raw->Close(); }, Qt::BlockingQueuedConnection);
   raw->thread_.quit();
   raw->thread_.wait();
 }
@@ -461,13 +467,13 @@
 }
 
 void
-Lane::Observe(const HeartbeatMessage& aHeartbeat, Instant aHeardAt)
+Lane::Observe(const HeartbeatMessage& aHeartbeat, Instant aReceivedAt)
 {
   Private* raw = private_.get();
   QMetaObject::invokeMethod(
     raw,
-    [raw, aHeartbeat, aHeardAt] {
-      raw->core_->OnHeartbeat(aHeartbeat, aHeardAt);
+    [raw, aHeartbeat, aReceivedAt] {
+      raw->core_->OnHeartbeat(aHeartbeat, aReceivedAt);
     },
     Qt::QueuedConnection);
 }
--- a/Source/Process/PlacementMisses.cxx
+++ b/Source/Process/PlacementMisses.cxx
@@ -6,7 +6,7 @@
 namespace cactusrail {
 
 bool
-PlacementMisses::IsPlain(const StepSpec& aStep)
+PlacementMisses::IsComparable(const StepSpec& aStep)
 {
   return !aStep.gang_ && !aStep.longRunning_ && aStep.maxPerWorker_ == 0;
 }
@@ -27,7 +27,7 @@
 void
 PlacementMisses::Add(const JobDescription& aJob, const StepSpec& aStep)
 {
-  if (IsPlain(aStep)) {
+  if (IsComparable(aStep)) {
     misses_.push_back(MissOf(aJob, aStep));
   }
 }
@@ -35,13 +35,14 @@
 bool
 PlacementMisses::Covers(const JobDescription& aJob, const StepSpec& aStep) const
 {
-  if (!IsPlain(aStep)) {
+  if (!IsComparable(aStep)) {
     return false;
   }
   const Miss wanted = MissOf(aJob, aStep);
   return std::any_of(
     misses_.begin(), misses_.end(), [&wanted](const Miss& aMiss) {
-      // A more urgent step may preempt more.
+      // A more urgent step may preempt more tasks, so a miss of a less urgent
+      // step does not cover it.
       return aMiss.backfill_ == wanted.backfill_ &&
              aMiss.priority_ <= wanted.priority_ &&
              aMiss.room_.cpuMilli_ <= wanted.room_.cpuMilli_ &&
--- a/Source/Process/StepSegments.cxx
+++ b/Source/Process/StepSegments.cxx
@@ -23,10 +23,10 @@
 std::optional<std::uint64_t>
 ReadBase36(const std::string& aText)
 {
-  bool good = false;
+  bool isNumber = false;
   const std::uint64_t number =
-    QString::fromStdString(aText).toULongLong(&good, kBase);
-  return good ? std::optional(number) : std::nullopt;
+    QString::fromStdString(aText).toULongLong(&isNumber, kBase);
+  return isNumber ? std::optional(number) : std::nullopt;
 }
 
 auto
@@ -50,7 +50,7 @@
 std::optional<RequestOrigin>
 ReadRequestId(std::string_view aRequestId)
 {
-  // From the end: the entry's name may hold dashes itself.
+  // Parses from the end, as the entry's name may contain dashes.
   std::vector<std::string> fields;
   std::string rest(aRequestId);
   for (std::size_t i = 0; i < kFieldsAfterName; ++i) {
--- a/Source/Process/WorkerChoice.cxx
+++ b/Source/Process/WorkerChoice.cxx
@@ -8,47 +8,53 @@
 namespace {
 
 /**
- * Backfill starts only where it gets this share of its processors: below it,
- * starting more makes all slower and none ready sooner.
+ * Minimum share of its processors with which backfill starts. Below this share,
+ * more tasks slow down all of them and none completes sooner.
  */
-constexpr double kLeastBackfillShare = 0.8;
+constexpr double kMinBackfillShare = 0.8;
 
-/** Part of their processors that tasks which serve are taken to use: what they
- * do use is not reported. Too much shows in the share that backfill gets. */
-constexpr double kServingUse = 0.6;
-/** Where backfill gets less than this of what it asked for, no more starts. */
-constexpr double kSaturated = 0.7;
+/** Assumed share of their declared processors that serving tasks use; the
+ * actual use is not reported. Higher use shows as a lower share of CPU for
+ * backfill. */
+constexpr double kServingUseShare = 0.6;
+/** Minimum ratio of CPU used to CPU requested by the backfill on a worker;
+ * below it, no more backfill starts there. */
+constexpr double kMinUsedShare = 0.7;
 
-/** Backfill starts only where it may work at this speed: a slower start keeps
- * it from a better place that is free soon. */
-constexpr double kLeastSpeed = 0.25;
-/** A task whose effect is unknown starts beside serving ones so often. */
-constexpr Millis kTryEvery{ 800 };
-/** Speed by which starving backfill is compared where it may not work at all.
- */
-constexpr double kCrawl = 0.02;
-/** The share of its processors by which it is compared where none are left. */
-constexpr double kLeastShare = 0.05;
-/** It starts where all backfill stands still only if it must: that counts as
- * much as a crawl. */
-constexpr double kAtRest = 1 / kCrawl;
+/** Minimum speed at which backfill starts. After a slower start it would miss a
+ * better worker that becomes free soon. */
+constexpr double kMinBackfillSpeed = 0.25;
+/** Minimum interval between starts, on one worker, of backfill of unknown
+ * effect beside serving tasks. */
+constexpr Millis kTrialInterval{ 800 };
+/** Speed assumed for starving backfill on workers where it may not run at
+ * all. */
+constexpr double kAssumedSpeed = 0.02;
+/** CPU share assumed for starving backfill on workers without free
+ * processors. */
+constexpr double kAssumedShare = 0.05;
+/** Cost of a worker with paused backfill, for starving backfill: the same as
+ * for the speed kAssumedSpeed, so that such a worker is a last resort. */
+constexpr double kPausedCost = 1 / kAssumedSpeed;
 
-/** Weights of a choice, in units of "a task takes so many times as long". */
-constexpr double kBesideServing = 0.2;
-constexpr double kUnknownFit = 1.0;
-/** For each task that would suffer should it turn out harmful. */
-constexpr double kTriedBeside = 0.3;
-constexpr double kAvoided = 20;
+/** Weights of the choice, as multiples of the duration of a task. */
+constexpr double kBesideServingCost = 0.2;
+constexpr double kUnknownFitCost = 1.0;
+/** Added for each serving task that would suffer if the backfill turns out to
+ * be harmful. */
+constexpr double kTrialCostPerServing = 0.3;
+constexpr double kAvoidedCost = 20;
 
-/** Weights of a worker for a task that serves; an empty one counts 1. */
-constexpr double kSameImage = 0.5;
-constexpr double kOtherImage = 0.7;
-constexpr double kSpread = 0.1;
+/** Cost of a worker for a serving task; a worker without serving tasks costs
+ * 1. */
+constexpr double kSameImageCost = 0.5;
+constexpr double kOtherImageCost = 0.7;
+constexpr double kUsedShareWeight = 0.1;
 
 bool
-Contains(std::span<const std::string> aList, std::string_view aWord)
+Contains(std::span<const std::string> aList, std::string_view aText)
 {
-  return std::find(aList.begin(), aList.end(), aWord) != aList.end();
+  return std::find(aList.begin(), aList.end(), aText) != aList.end();
 }
 
 double
@@ -67,12 +73,13 @@
   return std::max(cpu, memory);
 }
 
-/** The share of its processors that one more backfill task would get. */
+/** Returns the share of its processors that one more backfill task would
+ * get. */
 double
 BackfillShare(const FleetWorker& aWorker, std::int64_t aCpuMilli)
 {
   const double unused =
-    (1 - kServingUse) * static_cast<double>(aWorker.servingCpuMilli_);
+    (1 - kServingUseShare) * static_cast<double>(aWorker.servingCpuMilli_);
   const double left = static_cast<double>(aWorker.Free().cpuMilli_) + unused;
   const auto wanted =
     static_cast<double>(aWorker.backfillCpuMilli_ + aCpuMilli);
@@ -98,7 +105,7 @@
   return factor;
 }
 
-constexpr double kNever = std::numeric_limits<double>::infinity();
+constexpr double kIneligibleCost = std::numeric_limits<double>::infinity();
 
 double
 BackfillCost(const WorkerOption& aOption, const ChoiceFacts& aFacts)
@@ -107,30 +114,33 @@
   const double share = BackfillShare(worker, aFacts.step_->cpuMilli_);
   const BackfillFit& fit = aOption.fit_;
   if (aFacts.starving_) {
-    const double cost =
-      1 / std::max(fit.speed_, kCrawl) + 1 / std::max(share, kLeastShare);
-    return worker.backfillPaused_ ? cost + kAtRest : cost;
+    const double cost = 1 / std::max(fit.speed_, kAssumedSpeed) +
+                        1 / std::max(share, kAssumedShare);
+    return worker.backfillPaused_ ? cost + kPausedCost : cost;
   }
-  if (share < kLeastBackfillShare || worker.backfillShare_ < kSaturated ||
-      worker.backfillPaused_ || fit.speed_ < kLeastSpeed) {
-    return kNever;
+  if (share < kMinBackfillShare || worker.backfillShare_ < kMinUsedShare ||
+      worker.backfillPaused_ || fit.speed_ < kMinBackfillSpeed) {
+    return kIneligibleCost;
   }
   const double cost = 1 / (share * fit.speed_) + UsedShare(worker) * 0.5;
   if (worker.serving_ == 0) {
     return cost;
   }
   if (!fit.known_) {
-    const bool mayTry = aFacts.now_ - worker.triedAt_ > kTryEvery;
-    return mayTry ? cost + kUnknownFit + kTriedBeside * worker.serving_
-                  : kNever;
+    const bool mayStartTrial = aFacts.now_ - worker.triedAt_ > kTrialInterval;
+    return mayStartTrial
+             ? cost + kUnknownFitCost + kTrialCostPerServing * worker.serving_
+             : kIneligibleCost;
   }
-  return fit.harmless_ ? cost + kBesideServing : kNever;
+  return fit.harmless_ ? cost + kBesideServingCost : kIneligibleCost;
 }
 
 /**
- * Tasks that serve are packed onto few workers, those of one image first.
+ * Returns the cost of a worker for a serving task. Serving tasks are packed
+ * onto few workers, those of one image first.
  *
- * The fewer images serve on a worker, the more backfill disturbs none of them.
+ * The fewer images serve on a worker, the more kinds of backfill disturb none
+ * of them.
  */
 double
 ServingCost(const FleetWorker& aWorker, const std::string& aImage)
@@ -142,7 +152,8 @@
     aWorker.servingGroups_.begin(),
     aWorker.servingGroups_.end(),
     [&aImage](const auto& aEntry) { return aEntry.first.image_ == aImage; });
-  return (same ? kSameImage : kOtherImage) + kSpread * UsedShare(aWorker);
+  return (same ? kSameImageCost : kOtherImageCost) +
+         kUsedShareWeight * UsedShare(aWorker);
 }
 
 double
@@ -160,28 +171,28 @@
   }
   cost *= DistanceFactor(worker, aFacts) * worker.slowness_;
   if (Contains(aFacts.avoid_, worker.node_)) {
-    cost += kAvoided;
+    cost += kAvoidedCost;
   }
   return cost;
 }
 
 bool
-IsSetAside(const WorkerOption& aOption, Instant aNow)
+IsCordoned(const WorkerOption& aOption, Instant aNow)
 {
   return aOption.setAside_ || aNow < aOption.worker_->avoidUntil_;
 }
 
 /**
- * Whether some worker that could take the task is trusted. If none is, those
- * set aside are used all the same: work must not wait for ever because every
- * worker had a bad minute.
+ * Whether any eligible worker is not cordoned. If all are cordoned, they are
+ * used nevertheless: work must not wait indefinitely because every worker had
+ * failures for a minute.
  */
 bool
-AnyTrusted(std::span<const WorkerOption> aOptions, const ChoiceFacts& aFacts)
+AnyUncordoned(std::span<const WorkerOption> aOptions, const ChoiceFacts& aFacts)
 {
   return std::any_of(
     aOptions.begin(), aOptions.end(), [&aFacts](const WorkerOption& aOption) {
-      return MayRunOn(aOption, aFacts) && !IsSetAside(aOption, aFacts.now_);
+      return MayRunOn(aOption, aFacts) && !IsCordoned(aOption, aFacts.now_);
     });
 }
 
@@ -220,7 +231,8 @@
       worker.facts_.draining_ || !worker.strangers_.empty()) {
     return false;
   }
-  // Backfill takes no room.
+  // Backfill uses only processors that others leave, so a reservation of the
+  // worker does not exclude backfill.
   if (aOption.kept_ && !step.backfill_) {
     return false;
   }
@@ -232,7 +244,7 @@
 }
 
 bool
-HasRoomFor(const FleetWorker& aWorker, const FleetRoom& aRoom)
+HasCapacityFor(const FleetWorker& aWorker, const FleetRoom& aRoom)
 {
   const FleetRoom free = aWorker.Free();
   return free.cpuMilli_ >= aRoom.cpuMilli_ &&
@@ -245,16 +257,16 @@
 std::optional<std::size_t>
 BestOf(std::span<const WorkerOption> aOptions,
        const ChoiceFacts& aFacts,
-       bool aTrustedOnly)
+       bool aUncordonedOnly)
 {
   const FleetRoom room = FixedRoomOf(*aFacts.step_);
   std::optional<std::size_t> best;
-  double bestCost = kNever;
+  double bestCost = kIneligibleCost;
   for (std::size_t i = 0; i < aOptions.size(); ++i) {
     const FleetWorker& worker = *aOptions[i].worker_;
-    if (!MayRunOn(aOptions[i], aFacts) || !HasRoomFor(worker, room) ||
+    if (!MayRunOn(aOptions[i], aFacts) || !HasCapacityFor(worker, room) ||
         aFacts.now_ < worker.fullUntil_ ||
-        (aTrustedOnly && IsSetAside(aOptions[i], aFacts.now_))) {
+        (aUncordonedOnly && IsCordoned(aOptions[i], aFacts.now_))) {
       continue;
     }
     const double cost = CostOn(aOptions[i], aFacts);
@@ -271,12 +283,13 @@
 std::optional<std::size_t>
 ChooseWorker(std::span<const WorkerOption> aOptions, const ChoiceFacts& aFacts)
 {
-  const auto trusted = BestOf(aOptions, aFacts, AnyTrusted(aOptions, aFacts));
-  if (trusted.has_value() || !aFacts.step_->longRunning_) {
-    return trusted;
+  const auto uncordoned =
+    BestOf(aOptions, aFacts, AnyUncordoned(aOptions, aFacts));
+  if (uncordoned.has_value() || !aFacts.step_->longRunning_) {
+    return uncordoned;
   }
-  // A long-running task has no attempts to lose: where all trusted workers are
-  // full it tries one that is set aside, rather than be away for its pause.
+  // A long-running task has no limited number of attempts. If all other workers
+  // are full, it tries a cordoned worker rather than wait.
   return BestOf(aOptions, aFacts, false);
 }
 
--- a/Tests/Fleet/PlacementMissesTest.cxx
+++ b/Tests/Fleet/PlacementMissesTest.cxx
@@ -11,7 +11,7 @@
 namespace {
 
 JobDescription
-Asking(std::int64_t aPriority, std::int64_t aCpuMilli)
+JobRequesting(std::int64_t aPriority, std::int64_t aCpuMilli)
 {
   JobDescription job = MakeJob("job", 1, aCpuMilli);
   job.priority_ = aPriority;
@@ -19,52 +19,52 @@
 }
 
 bool
-Covered(const PlacementMisses& aMisses, const JobDescription& aJob)
+IsCovered(const PlacementMisses& aMisses, const JobDescription& aJob)
 {
   return aMisses.Covers(aJob, aJob.steps_.front());
 }
 
 }
 
-Test(PlacementMisses, CoversWhatAsksForAsMuchOrMore)
+Test(PlacementMisses, CoversStepsThatRequestAsMuchOrMore)
 {
   PlacementMisses misses;
-  const JobDescription missed = Asking(1, 2000);
+  const JobDescription missed = JobRequesting(1, 2000);
   misses.Add(missed, missed.steps_.front());
-  cr_assert(Covered(misses, Asking(1, 2000)));
-  cr_assert(Covered(misses, Asking(2, 3000)));
-  cr_assert_not(Covered(misses, Asking(1, 1999)));
-  // It may preempt more.
-  cr_assert_not(Covered(misses, Asking(0, 2000)));
+  cr_assert(IsCovered(misses, JobRequesting(1, 2000)));
+  cr_assert(IsCovered(misses, JobRequesting(2, 3000)));
+  cr_assert_not(IsCovered(misses, JobRequesting(1, 1999)));
+  // A more urgent job may preempt more tasks.
+  cr_assert_not(IsCovered(misses, JobRequesting(0, 2000)));
   misses.Clear();
-  cr_assert_not(Covered(misses, Asking(1, 2000)));
+  cr_assert_not(IsCovered(misses, JobRequesting(1, 2000)));
 }
 
-Test(PlacementMisses, CoversOnlyWhatMayRunOnTheSameWorkers)
+Test(PlacementMisses, CoversOnlyStepsForTheSameWorkers)
 {
   PlacementMisses misses;
-  const JobDescription missed = Asking(1, 2000);
+  const JobDescription missed = JobRequesting(1, 2000);
   misses.Add(missed, missed.steps_.front());
   JobDescription other = missed;
   other.service_ = "other";
-  cr_assert_not(Covered(misses, other));
+  cr_assert_not(IsCovered(misses, other));
   other = missed;
   other.steps_.front().requiredLabel_ = "ssd";
-  cr_assert_not(Covered(misses, other));
+  cr_assert_not(IsCovered(misses, other));
   other = missed;
   other.steps_.front().backfill_ = true;
-  cr_assert_not(Covered(misses, other));
+  cr_assert_not(IsCovered(misses, other));
   other = missed;
   other.steps_.front().longRunning_ = true;
-  cr_assert_not(Covered(misses, other));
+  cr_assert_not(IsCovered(misses, other));
   other = missed;
   other.steps_.front().maxPerWorker_ = 1;
-  cr_assert_not(Covered(misses, other));
+  cr_assert_not(IsCovered(misses, other));
 }
 
-// Pattern: a backlog in a full fleet; the leader looked at each worker and at
-// each of its runs for each waiting step in each pass, and fell behind.
-Test(PlacementMisses, BacklogOfEqualStepsCostsOneLookAPass)
+// Guards against a leader that falls behind with a backlog in a full fleet: it
+// scanned all workers and their runs for each waiting step in each pass.
+Test(PlacementMisses, EqualStepsShareTheScansOfAPass)
 {
   FleetWorld world(8);
   world.Run(Millis(1500));
@@ -74,13 +74,13 @@
   world.Run(Millis(100));
   const std::uint64_t before = world.Scheduler().FleetLooks();
   world.Run(Millis(500));
-  // Two where one step makes room as well.
+  // A pass needs two scans where a step also preempts.
   constexpr std::uint64_t kPasses = 50;
   cr_assert_leq(world.Scheduler().FleetLooks() - before, 3 * kPasses);
 }
 
-// Guards against a step that is refused for another one's miss though its own
-// task would fit.
+// Guards against a step that is refused for the miss of another step although
+// its own task would fit.
 Test(PlacementMisses, SmallerStepBehindALargeOneStarts)
 {
   FleetWorld world(1);
--- a/Tests/Fleet/StandingRoomTest.cxx
+++ b/Tests/Fleet/StandingRoomTest.cxx
@@ -30,7 +30,8 @@
   return job;
 }
 
-/** Watchers hold half of eight hosts, callers ask for quotes all the time. */
+/** Eight hosts, half of whose capacity is used by watchers, while callers
+ * submit quotes continuously. */
 class SharedFleet
 {
 public:
@@ -79,14 +80,15 @@
 
 }
 
-// Pattern: watchers arrive in a fleet that they nearly fill; they took what was
-// free for a moment and kept it, and quotes waited for 20 s.
-Test(StandingRoom, QuotesFindRoomWhenNewWatchersArrive)
+// Guards against long-running watchers that take all capacity which is free for
+// a moment. When they arrived in a fleet that they nearly filled, quotes waited
+// for 20 s.
+Test(StandingRoom, QuotesStartWhenNewWatchersArrive)
 {
   SharedFleet fleet;
   fleet.RunWithQuotes(Millis(5000));
   fleet.SubmitNewWatchers();
-  // In waves: between them there is room for a moment.
+  // Quotes come in waves; between them, capacity is free for a moment.
   for (int wave = 0; wave < 4; ++wave) {
     fleet.world_.Run(Millis(1500));
     fleet.RunWithQuotes(Millis(2500));
@@ -100,7 +102,7 @@
   cr_assert_not(fleet.world_.Said("standing-held-back").empty());
 }
 
-Test(StandingRoom, HeldBackWatcherStartsWhenAnotherEnds)
+Test(StandingRoom, DeferredWatcherStartsWhenAnotherEnds)
 {
   SharedFleet fleet;
   fleet.RunWithQuotes(Millis(5000));
@@ -113,7 +115,7 @@
   cr_assert_eq(fleet.NewWatchersStarted(), before + 2);
 }
 
-Test(StandingRoom, WatchersTakeAllRoomThatNobodyElseAsksFor)
+Test(StandingRoom, WatchersUseAllCapacityWithoutShortWork)
 {
   SharedFleet fleet;
   fleet.SubmitNewWatchers();
@@ -121,9 +123,9 @@
   cr_assert_eq(fleet.NewWatchersStarted(), 8);
 }
 
-// Guards against a watcher that stays away after a loss of power because
-// quotes have been asked for since it started.
-Test(StandingRoom, WatcherThatHasRunIsNotHeldBackByTheNextLeader)
+// Guards against a watcher that does not restart after a loss of power, because
+// the new leader defers it for quotes submitted since it started.
+Test(StandingRoom, StartedWatcherIsNotDeferredByTheNextLeader)
 {
   SharedFleet fleet;
   fleet.SubmitNewWatchers();
@@ -146,22 +148,23 @@
   }
 }
 
-Test(StandingRoom, RateIsWhatWasAskedForLately)
+Test(StandingRoom, RateFollowsRecentDemand)
 {
   StandingRoom room;
   std::int64_t now = 0;
-  // Ten times a second what keeps two processors busy for 100 ms.
+  // Ten requests per second, each of which keeps two processors busy for 100
+  // ms.
   for (; now < 20000; now += 100) {
     room.OnAsked("service", 0, 2000.0 * 100, At(now));
   }
-  const double asked = room.AskedCpuMilli("service", 0, At(now));
+  const double asked = room.DemandCpuMilli("service", 0, At(now));
   cr_assert_gt(asked, 1900);
   cr_assert_lt(asked, 2100);
-  cr_assert_eq(room.AskedCpuMilli("other", 0, At(now)), 0);
-  cr_assert_lt(room.AskedCpuMilli("service", 0, At(now + 60000)), 100);
+  cr_assert_eq(room.DemandCpuMilli("other", 0, At(now)), 0);
+  cr_assert_lt(room.DemandCpuMilli("service", 0, At(now + 60000)), 100);
 }
 
-Test(StandingRoom, LessUrgentWorkHoldsNothingBack)
+Test(StandingRoom, LessUrgentDemandDefersNothing)
 {
   StandingRoom room;
   room.OnAsked("service", 2, 64000.0 * 10000, At(0));
@@ -169,8 +172,10 @@
   cr_assert_lt(room.MostCpuMilli("service", 2, 64000, At(1000)), 64000);
 }
 
-// Guards against watchers that wait though short work finds room all the time.
-Test(StandingRoom, MoreIsLeftOnceShortWorkFoundNoRoom)
+// Guards against watchers that are deferred although short work always finds
+// capacity: only a miss raises the share left to short work, and only for a
+// limited time.
+Test(StandingRoom, MissRaisesTheShareLeftToShortWork)
 {
   StandingRoom room;
   room.OnAsked("service", 0, 10000.0 * 2000, At(0));
