--- a/Source/Process/FleetLead.h
+++ b/Source/Process/FleetLead.h
@@ -28,9 +28,11 @@
 namespace cactusrail {
 
 /**
- * What an entry does while it leads: reads the table, holds a link to each
- * side, carries out what FleetScheduler decides. Made when the lease is won,
- * destroyed when it is lost; one life is one epoch.
+ * Leader role of an entry: reads the tables, maintains a link to each side and
+ * executes the decisions of FleetScheduler.
+ *
+ * Created when the entry acquires the leader lease and destroyed when it loses
+ * the lease; each instance belongs to exactly one epoch.
  */
 template<RowStore Store>
 class FleetLead : public QObject
@@ -89,9 +91,10 @@
   }
 
   FleetScheduler& Scheduler() { return scheduler_; }
-  /** All of the table has been read. */
+  /** Returns whether the initial read of all tables is complete. */
   bool Loaded() const { return scheduler_.Loaded(); }
-  /** When the last call that the table has answered for sure was sent. */
+  /** Returns when the last call to the work table that was answered was sent.
+   */
   Instant TableAnsweredAt() const { return work_.CurrentAsOf(); }
 
   void OnJobStored(const JobDescription& aSpec)
@@ -108,11 +111,11 @@
 
 private:
   static constexpr Millis kTick{ 50 };
-  /** Facts that come together are decided on together. */
+  /** Delay that batches inputs which arrive together into one decision. */
   static constexpr Millis kCoalesce{ 10 };
-  /** Changes are stored together if they come within this. */
+  /** Minimum interval between two writes of accumulated changes. */
   static constexpr Millis kFlush{ 25 };
-  /** A side that has not reported for so long is linked anew. */
+  /** Timeout without a report after which the link to a side is reopened. */
   static constexpr Millis kSilentSide{ 2500 };
   static constexpr Millis kLinkRetry{ 250 };
   static constexpr Millis kSweep{ 5000 };
@@ -124,7 +127,7 @@
     std::string life_;
     std::uint64_t rowVersion_ = 0;
     QPointer<SideLink> link_;
-    /** Of link_. */
+    /** Decoder state of link_. */
     ReportDecoder reports_;
     bool up_ = false;
     Instant heardAt_;
@@ -238,7 +241,7 @@
       Guarded(this, [this](Result<RowPage> aPage) {
         const auto* page = std::get_if<RowPage>(&aPage);
         if (page == nullptr || page->rows_.empty()) {
-          return; // Then it is learned anew.
+          return; // The model starts empty and is rebuilt from reports.
         }
         const Result<LearnedContention> record =
           DecodeRecord<LearnedContention>(page->rows_.front().value_);
@@ -258,7 +261,7 @@
     if (record.pairs_.empty() || !lease_.Leads(aNow)) {
       return;
     }
-    // Within the size of a row.
+    // Keeps the record within the maximum size of a row.
     constexpr std::size_t kMostPairs = 400;
     constexpr std::size_t kMostBases = 100;
     record.pairs_.resize(std::min(record.pairs_.size(), kMostPairs));
@@ -280,10 +283,11 @@
   }
 
   /**
-   * Ends a link, and tells the scheduler so.
+   * Closes a link and notifies the scheduler.
    *
-   * The scheduler sends no orders on a new link before its first report, which
-   * would not know of them: their tasks would be taken for not started.
+   * After this notification the scheduler sends no orders on a new link before
+   * the first report on that link. Such a report would not list the runs of
+   * earlier orders, so their tasks would be treated as not started.
    */
   void LoseLink(const std::string& aNode, Side& aSide)
   {
@@ -438,7 +442,10 @@
                   });
   }
 
-  /** Removes what nobody can ask for any more. */
+  /**
+   * Stores the interference model, removes expired jobs and the rows of
+   * removable sides, and logs the state of each worker.
+   */
   void Sweep(Instant aNow)
   {
     WriteLearned(aNow);
@@ -488,7 +495,7 @@
                      const Commit& aCommit)
   {
     if (aCommit.outcome_ != CommitOutcome::Done) {
-      return; // The next sweep finds them again.
+      return; // The next sweep retries the removal.
     }
     for (const std::string& id : aIds) {
       scheduler_.Forget(id);
@@ -503,11 +510,12 @@
       return;
     }
     RowTransaction transaction;
-    // A side that registered again since has another version.
+    // The row of a side that has registered again since then has a different
+    // version, so this transaction does not remove it.
     transaction.conditions_.push_back(
       { MemberRowId(aNode), found->second.rowVersion_ });
     transaction.removals_.push_back(MemberRowId(aNode));
-    // Until its row comes anew, nothing may start there.
+    // No run may start on this side until its row is read again.
     scheduler_.OnSideRemoved(aNode);
     LogChange("side-removed", { { "side", aNode } });
     store_.Write(transaction, aNow + kRemoveTimeout, [](const Commit&) {});
--- a/Source/Process/FleetRecords.cxx
+++ b/Source/Process/FleetRecords.cxx
@@ -4,7 +4,8 @@
 
 namespace {
 
-/** FNV-1a, 32 bits: the same on all hosts and in all versions. */
+/** Returns the 32-bit FNV-1a hash, which is identical on all hosts and in all
+ * versions. */
 std::uint32_t
 StableHash(std::string_view aText)
 {
--- a/Source/Process/FleetRecords.h
+++ b/Source/Process/FleetRecords.h
@@ -14,29 +14,30 @@
 namespace cactusrail {
 
 /**
- * Where the fleet's records lie in the table service. Jobs are spread over
- * parts: one part carries out its transactions one after another, and a slow
- * table does three a second. What the leader writes lies in one part, fenced by
- * its head row.
+ * Tables, parts and rows of the fleet in the table service.
+ *
+ * Jobs are spread over several parts, because a part executes its transactions
+ * sequentially and a slow table executes three per second. The leader writes to
+ * a single part that is fenced by its head row.
  */
 
-/** Jobs and cancellations, written by whoever accepts them. */
+/** Jobs and cancellations, written by the entry that accepts them. */
 constexpr std::string_view kWorkTable = "work";
 constexpr std::size_t kWorkParts = 32;
-/** What became of jobs; written by the leader only. */
+/** Progress and results of jobs; written by the leader only. */
 constexpr std::string_view kProgressTable = "progress";
 constexpr std::string_view kProgressPart = "progress";
-/** Sides that may hold work. */
+/** Sides that may have runs. */
 constexpr std::string_view kMemberTable = "member";
-/** Who leads. */
+/** Leader lease and the interference model. */
 constexpr std::string_view kLeadTable = "lead";
-/** The key that our processes share. */
+/** Key shared by all processes of the fleet. */
 constexpr std::string_view kKeyTable = "key";
 
 constexpr std::string_view kJobPrefix = "j/";
 constexpr std::string_view kCancelPrefix = "c/";
 
-/** "0" to the last part, by the job's id. */
+/** Returns the part of a job, "0" to kWorkParts - 1, by a hash of its id. */
 std::string
 WorkPartOf(std::string_view aJob);
 
@@ -55,7 +56,7 @@
 RowId
 LeadRowId();
 
-/** What leaders have learned of interference; see ContentionModel. */
+/** Returns the row of the learned interference model; see ContentionModel. */
 RowId
 LearnedRowId();
 
@@ -65,12 +66,12 @@
 RowId
 KeyRowId();
 
-/** A side as other processes find it. */
+/** Registration of a side in the member table. */
 struct MemberRecord
 {
-  /** Where it takes links, "IP:PORT". */
+  /** Address at which the side accepts links, "IP:PORT". */
   std::string address_;
-  /** One life of the process. */
+  /** Incarnation of the process. */
   std::string life_;
 
   template<class Archive>
@@ -81,10 +82,10 @@
 };
 
 /**
- * The head of the leader's part: each of its transactions is conditioned on the
- * head and writes it anew. A transaction without an answer that is carried out
- * late therefore can't undo a newer one, and one of a former leader does
- * nothing.
+ * Head row of the leader's part. Each transaction of the leader is conditional
+ * on the head row and rewrites it. A transaction without an answer that is
+ * executed late therefore cannot overwrite a newer one, and a transaction of a
+ * former leader has no effect.
  */
 struct ProgressHead
 {
--- a/Source/Process/FleetSettings.cxx
+++ b/Source/Process/FleetSettings.cxx
@@ -105,7 +105,7 @@
   return all;
 }
 
-/** None if the text is no number as a whole. */
+/** Returns std::nullopt unless the whole text is a number. */
 std::optional<double>
 ParseFraction(const std::string& aText)
 {
--- a/Source/Process/FleetSettings.h
+++ b/Source/Process/FleetSettings.h
@@ -9,19 +9,19 @@
 
 namespace cactusrail {
 
-/** What both roles of the fleet are told by their settings file. */
+/** Settings that both roles of the fleet have in common. */
 struct FleetSettings
 {
   std::string name_;
   std::string dataCentre_;
-  /** Where links of our own processes arrive. */
+  /** Address that accepts links of other processes of the fleet. */
   SocketAddress links_;
-  /** Where the metrics page is served. */
+  /** Address that serves the metrics page. */
   SocketAddress metrics_;
-  /** The platform's table service. */
+  /** Address of the platform's table service. */
   SocketAddress store_;
   std::string logLevel_;
-  /** A planned stop must be over by then. */
+  /** Maximum duration of a planned stop. */
   Millis stopBound_{ 0 };
 };
 
@@ -29,12 +29,12 @@
 struct FleetEntrySettings
 {
   FleetSettings fleet_;
-  /** Where callers' requests arrive. */
+  /** Address that accepts requests of callers. */
   SocketAddress callers_;
-  /** Where the balancer asks whether callers may come. */
+  /** Address at which the load balancer queries readiness. */
   SocketAddress readiness_;
   FleetBounds bounds_;
-  /** Processors of this host, or the share of one that it has. */
+  /** Number of processors of this host, or its share of one processor. */
   double processors_ = 1;
 
   static std::span<const SettingSpec> Specs();
@@ -45,13 +45,13 @@
 struct FleetSideSettings
 {
   FleetSettings fleet_;
-  /** Where the worker on this host announces itself. */
+  /** Address that accepts announcements of the worker on this host. */
   SocketAddress announcements_;
-  /** Where that worker takes orders. */
+  /** Address at which that worker accepts calls. */
   SocketAddress worker_;
-  /** The longest lease that the worker grants. */
+  /** Maximum lease that the worker grants. */
   Millis maxLease_{ 0 };
-  /** A worker stops a run within this. */
+  /** Maximum time that a worker takes to stop a run. */
   Millis stopTimeout_{ 0 };
 
   static std::span<const SettingSpec> Specs();
--- a/Source/Process/LeaderLease.cxx
+++ b/Source/Process/LeaderLease.cxx
@@ -7,21 +7,23 @@
 
 namespace {
 
-/** After a failed call to the table; its outages are asked about this often. */
+/** Delay before the retry of a failed call to the table. */
 constexpr Millis kRetry{ 250 };
-/** A host with this share of a processor has room enough to lead. */
+/** Share of a processor that is sufficient for a leader. */
 constexpr double kEnoughProcessors = 0.5;
-/** For each time that a host has less: more than the 0.1 s between two looks at
- * the row, with the time that a write takes. */
+/** Delay per multiple by which a host falls short of kEnoughProcessors. Longer
+ * than the 0.1 s between two reads of the row plus the duration of a write. */
 constexpr Millis kStandAside{ 150 };
-/** Beyond it a fleet without a leader costs more than a slow one. */
+/** Maximum delay; a longer time without a leader costs more than a slow leader.
+ */
 constexpr Millis kMostAside{ 600 };
-/** A leader hands over to a host with so many times its processors: moving the
- * lead stops all placing for some 0.2 s. */
+/** Minimum ratio of processors for a handover. Moving the leadership stops all
+ * placement for about 0.2 s. */
 constexpr double kWorthAMove = 2;
-/** The next reading of the clock that is later. */
+/** Smallest step past a deadline. */
 constexpr Millis kJustAfter{ 1 };
-/** A leader that yielded leaves the other one this time before it renews. */
+/** Delay before a leader that yielded renews, which lets the other entry take
+ * over. */
 constexpr Millis kYieldPause{ 1500 };
 
 }
@@ -93,7 +95,8 @@
   if (row_.version_ == 0 || leader.node_.empty()) {
     return aNow - seenSince_ >= standAside_;
   }
-  // The process that held it listened where this one listens now.
+  // The holder listened at the address that this process listens at now, so the
+  // holder no longer runs.
   if (leader.address_ == self_.address_ && leader.life_ != self_.life_) {
     return true;
   }
@@ -147,16 +150,17 @@
   }
   const bool own = IsOwn(row_.record_);
   if (own && !holds_) {
-    // A write of ours that had no answer took effect. Others count from when
-    // they see it; this process leads from its next renewal on.
+    // A write of this process without an answer took effect. Followers measure
+    // the lease from their first observation of the new version; this process
+    // leads only after its next renewal.
     holds_ = true;
     deadline_ = aSentAt;
   }
   if (!own) {
     holds_ = false;
   }
-  // A lease that is not renewed is looked at once more when it is over, not up
-  // to a whole watch later: a fleet starts nothing meanwhile.
+  // Reads a lease that is not renewed again as soon as it expires instead of up
+  // to kLeaderWatch later, because the fleet starts nothing without a leader.
   nextAt_ = own || IsFree(aNow)
               ? aNow
               : std::min(aNow + kLeaderWatch, OverAt() + kJustAfter);
@@ -220,7 +224,7 @@
 void
 LeaderLease::Yield(Instant aNow)
 {
-  // Each further yield would put the next renewal off once more.
+  // A repeated yield must not postpone the next renewal again.
   if (aNow >= deadline_) {
     return;
   }
--- a/Source/Process/LeaderLease.h
+++ b/Source/Process/LeaderLease.h
@@ -11,16 +11,16 @@
 
 namespace cactusrail {
 
-/** Who leads, as the table's row says. */
+/** Content of the table row that names the leader. */
 struct LeaderRecord
 {
-  /** Rises with each change of leader. */
+  /** Leadership term; increases with each change of leader. */
   std::uint64_t epoch_ = 0;
-  /** The process that leads; empty if the last one stepped down. */
+  /** Name of the leading process; empty if the last leader stepped down. */
   std::string node_;
-  /** One life of that process. */
+  /** Incarnation of that process. */
   std::string life_;
-  /** Where it takes links, "IP:PORT". */
+  /** Address at which the process accepts links, "IP:PORT". */
   std::string address_;
 
   template<class Archive>
@@ -30,44 +30,51 @@
   }
 };
 
-/** The row as it was read, with the version that a change is conditioned on. */
+/** The leader row as read, and the version that conditional writes expect. */
 struct LeaderRow
 {
   LeaderRecord record_;
-  /** 0: there is no row. */
+  /** Row version; 0 if the row does not exist. */
   std::uint64_t version_ = 0;
 };
 
-/** What this process should do about the lease now. */
+/** Next table operation that the lease requires of this process. */
 enum class LeaseStep : std::uint8_t
 {
   Nothing,
-  /** Read the row; report it with OnRead(). */
+  /** Read the row and pass the result to OnRead() or OnReadFailed(). */
   Read,
-  /** Write Wanted() on the condition of RowVersion(); report the outcome. */
+  /** Write Wanted() on the condition that the row has RowVersion(), and report
+   * the outcome with one of the other On...() methods. */
   Write,
 };
 
 /**
- * The lease by which one entry leads: a row of the table that the leader keeps
- * writing. Pure: facts and times in, steps out. Owned by the entry's process.
+ * State machine of the leader lease: a table row that the leader rewrites
+ * periodically.
  *
- * Two leaders at once would start one task twice. A leader goes on only until
- * kLeaderLease after it *sent* its last renewal that succeeded; a follower
- * takes over only when it saw one unchanged version for longer than that, and
- * its write is conditioned on that version. The clock counts suspended time, so
- * a frozen leader finds its lease over when it wakes.
+ * Performs no I/O and reads no clock: the caller passes in events and times and
+ * executes the returned steps. Owned by the entry's process.
+ *
+ * Two concurrent leaders would start one task twice. A leader therefore stops
+ * leading kLeaderLease after it *sent* its last successful renewal. A follower
+ * takes over only after it has observed an unchanged version for longer than
+ * that, and its write is conditional on that version. The clock includes
+ * suspended time, so a leader that was frozen finds its lease expired on
+ * resume.
  */
 class LeaderLease
 {
 public:
   /**
-   * How long a process on so many processors leaves a free lease to others.
+   * Returns the delay before a process on a host with aProcessors processors
+   * may acquire a free lease.
    *
-   * Makes larger hosts lead where all look at a free lease at the same time, as
-   * when all start: hosts of half a processor and more wait for none. It does
-   * not bind them otherwise: entries see the last renewal of a lost leader up
-   * to kLeaderWatch apart; see HandsOverTo().
+   * Makes larger hosts win when all entries find a free lease at the same time,
+   * for example when all of them start: hosts with half a processor or more do
+   * not wait. After the loss of a leader the larger host may still lose,
+   * because the entries observe the last renewal up to kLeaderWatch apart; see
+   * HandsOverTo().
    */
   static Millis StandAside(double aProcessors);
 
@@ -76,65 +83,76 @@
     std::string node_;
     std::string life_;
     std::string address_;
-    /** Of its host, or its share of one. */
+    /** Number of processors of the host, or the share of one processor. */
     double processors_ = 1;
   };
 
   explicit LeaderLease(Identity aSelf);
 
+  /** Returns the operation that is due now; Nothing while one is in flight. */
   LeaseStep Next(Instant aNow);
 
-  /** The content to write, and the version that it replaces. */
+  /** Returns the content to write. */
   const LeaderRecord& Wanted() const { return wanted_; }
+  /** Returns the row version on which the write is conditional. */
   std::uint64_t RowVersion() const { return row_.version_; }
 
-  /** A read that was sent at aSentAt brought this row, or none. */
+  /** Handles the result of a read sent at aSentAt; version 0 means no row. */
   void OnRead(const LeaderRow& aRow, Instant aSentAt, Instant aNow);
   void OnReadFailed(Instant aNow);
 
-  /** The write succeeded; the row has aVersion now. */
+  /** Handles a successful write, which gave the row aVersion. */
   void OnWritten(std::uint64_t aVersion, Instant aNow);
-  /** The condition failed: someone else wrote, or a write of ours came late. */
+  /** Handles a write whose condition failed, because another process wrote the
+   * row or an earlier write of this process was applied late. */
   void OnConflict(Instant aNow);
-  /** It may have been written, or not. */
+  /** Handles a write with an unknown outcome. */
   void OnDoubt(Instant aNow);
-  /** It surely was not written. */
+  /** Handles a write that had no effect. */
   void OnNotWritten(Instant aNow);
 
   /**
-   * The table does not answer this process, and answers another one: that one
-   * is told to take over. This process leads no more unless its next renewal
-   * comes first; the row's version decides.
+   * Ends the leadership of this process in favour of another entry.
+   *
+   * Used when the table answers the other entry but not this process, or when
+   * the other entry runs on a larger host. This process leads again only if its
+   * next renewal is applied before the takeover of the other entry; the version
+   * of the row decides.
    */
   void Yield(Instant aNow);
   /**
-   * The leader has yielded the row as it was in this version; the next step
-   * takes over, if the row still is. Taken as a yield of the leader's life, it
-   * outlived a renewal that was on its way: the renewal succeeded, the leader
-   * went on, this process took over, and both started the same task.
+   * Handles the message that the leader has yielded version aVersion of the
+   * row. The next step takes over if the row still has that version.
+   *
+   * The yield applies to one version and not to the incarnation of the leader,
+   * because a renewal may be in flight: if that renewal succeeds, the leader
+   * continues, and a takeover by this process would let both start the same
+   * task.
    */
   void OnYield(std::uint64_t aVersion, Instant aNow);
 
   /**
-   * Whether this process, which leads, should yield to one on a host with so
-   * many processors, which reaches the table.
+   * Returns whether this process, as the leader, should yield to an entry that
+   * reaches the table and runs on a host with aProcessors processors.
    *
-   * A leader on a host with too little of a processor falls seconds behind.
+   * A leader on a host with too small a share of a processor falls seconds
+   * behind.
    */
   bool HandsOverTo(double aProcessors) const;
 
-  /** A planned stop: the next write gives the lease up. */
+  /** Starts a planned stop: the next write releases the lease. */
   void StepDown();
 
-  /** This process may order and acknowledge now. */
+  /** Returns whether this process may send orders and acknowledge now. */
   bool Leads(Instant aNow) const;
-  /** It holds the row, though its time may be over for the moment. */
+  /** Returns whether the row names this process, even if its lease expired. */
   bool Holds() const { return holds_; }
-  /** It gave the lease up, and the table has taken that. */
+  /** Returns whether this process has released the lease in the table, or had
+   * no lease to release. */
   bool SteppedDown() const { return steppedDown_; }
   std::uint64_t Epoch() const { return row_.record_.epoch_; }
 
-  /** Who leads as far as is known. */
+  /** Returns the content of the row as last read or written. */
   const LeaderRecord& Leader() const { return row_.record_; }
 
 private:
@@ -143,7 +161,8 @@
   LeaseStep Write(Instant aNow);
   bool IsOwn(const LeaderRecord& aRecord) const;
   bool IsFree(Instant aNow) const;
-  /** When the lease is over for this process, unless it is renewed. */
+  /** Returns when this process may treat the observed lease as expired, unless
+   * the lease is renewed. */
   Instant OverAt() const;
   void BeginDoubt(Instant aNow);
 
@@ -151,7 +170,7 @@
   Millis standAside_;
   LeaderRow row_;
   bool known_ = false;
-  /** Since when the row has been seen in this version. */
+  /** Time of the first observation of the current row version. */
   Instant seenSince_;
   LeaderRecord wanted_;
   bool busy_ = false;
@@ -159,11 +178,11 @@
   bool inDoubt_ = false;
   bool stepDown_ = false;
   bool steppedDown_ = false;
-  /** The version in which the leader yielded the row; 0 if it did not. */
+  /** Row version that the leader yielded; 0 if none. */
   std::uint64_t yieldedVersion_ = 0;
   Instant sentAt_;
   Instant nextAt_;
-  /** Until when this process may lead. */
+  /** End of the leadership of this process unless it renews the lease. */
   Instant deadline_;
 };
 
--- a/Source/Process/LeaderLink.h
+++ b/Source/Process/LeaderLink.h
@@ -16,10 +16,11 @@
 namespace cactusrail {
 
 /**
- * The link of an entry to the entry that leads. Owned by the entry's process.
+ * Link of an entry to the leading entry. Owned by the entry's process.
  *
- * A connection may fall silent without an end: questions have a deadline, and
- * after two without an answer the link is made anew.
+ * A connection may stop delivering data without being closed. Each request
+ * therefore has a timeout, and the link is reopened after two requests without
+ * an answer.
  */
 class LeaderLink : public QObject
 {
@@ -31,20 +32,23 @@
   LeaderLink(std::string aNode, double aProcessors);
   ~LeaderLink() override;
 
-  /** Where the leader is; an empty address for none. */
+  /** Sets the address and incarnation of the leader; an empty address means
+   * that there is none. */
   void SetLeader(const std::string& aAddress, const std::string& aLife);
 
-  /** Asks; the callback comes once, with nothing if there was no answer. */
+  /** Sends a request and calls aCallback exactly once, with std::nullopt if no
+   * answer arrives within aTimeout or the link is lost. */
   void Ask(FleetAskMessage aAsk, Millis aTimeout, Callback aCallback);
 
-  /** Tells without waiting for an answer. */
+  /** Sends a request that expects no answer. */
   void Tell(FleetAskMessage aAsk);
 
-  /** The leader answered not long ago. */
+  /** Returns whether the link is open and no request has timed out since the
+   * last answer. */
   bool Usable() const;
 
 Q_SIGNALS:
-  /** The leader has yielded its row in this version to this entry. */
+  /** The leader has yielded aVersion of its row to this entry. */
   void LeaderYields(quint64 aVersion);
 
 private:
--- a/Source/Process/LeaseRunner.h
+++ b/Source/Process/LeaseRunner.h
@@ -16,13 +16,13 @@
 
 namespace cactusrail {
 
-/** Carries out the steps of a LeaderLease against the table. Owned by the
- * entry's process. */
+/** Executes the steps of a LeaderLease against the table. Owned by the entry's
+ * process. */
 template<RowStore Store>
 class LeaseRunner : public QObject
 {
 public:
-  /** Called after each change of what the lease says. */
+  /** Called after each table operation that may have changed the lease. */
   using Callback = std::function<void()>;
 
   LeaseRunner(Store& aStore, LeaderLease::Identity aSelf, Callback aChanged)
@@ -56,12 +56,13 @@
 
   const LeaderLease& Lease() const { return lease_; }
 
-  /** When the table last answered; it is asked at least every second. */
+  /** Returns when the table last answered; it is called at least every second.
+   */
   Instant AnsweredAt() const { return answeredAt_; }
 
 private:
   static constexpr Millis kTick{ 100 };
-  /** Shorter than what is left of a lease after two renewals failed. */
+  /** Shorter than the remaining time of a lease after two failed renewals. */
   static constexpr Millis kCallTimeout{ 1000 };
 
   void Step()
--- a/Source/Process/StoredJobs.h
+++ b/Source/Process/StoredJobs.h
@@ -15,9 +15,10 @@
 namespace cactusrail {
 
 /**
- * What the table says of a job, for when no leader can be asked. Each question
- * is answered within kReadTimeout, in the thread that asks. Owned by the entry,
- * as long as its store.
+ * Reads the state of a job from the table when no leader is reachable.
+ *
+ * Each read completes within kReadTimeout, in the calling thread. Owned by the
+ * entry; must not outlive the store.
  */
 template<RowStore Store>
 class StoredJobs
@@ -25,7 +26,7 @@
 public:
   using Answer = std::function<void(const CallerReply&)>;
 
-  /** What a caller is told when the store does not say. */
+  /** Message to the caller when the store does not answer. */
   static constexpr const char* kNoAnswer = "The table service does not answer.";
 
   explicit StoredJobs(Store& aStore)
@@ -33,8 +34,8 @@
   {
   }
 
-  /** A final state if one is stored; else whether the job was accepted, and
-   * whether it was cancelled since. */
+  /** Answers with the final state if one is stored; otherwise reads whether the
+   * job was accepted and whether it was cancelled afterwards. */
   void ReadState(const std::string& aJob, const Answer& aAnswer)
   {
     ReadPage(ProgressRowId(aJob),
@@ -53,7 +54,8 @@
              });
   }
 
-  /** Whether there is such a row; none if the store does not say. */
+  /** Reports whether the row exists; std::nullopt if the store does not answer.
+   */
   void Find(const RowId& aId,
             const std::function<void(std::optional<bool>)>& aCallback)
   {
@@ -68,10 +70,10 @@
   }
 
 private:
-  /** A read takes some 10 ms; a caller waits 3 s and may need three reads. */
+  /** A read takes about 10 ms. A caller waits 3 s, and a request may need three
+   * reads. */
   static constexpr Millis kReadTimeout{ 1000 };
 
-  /** Reads the one row of this key. */
   void ReadPage(const RowId& aId,
                 const std::function<void(const Result<RowPage>&)>& aCallback)
   {
@@ -79,7 +81,8 @@
       RowRange::Only(aId), ReadMonotonicClock() + kReadTimeout, aCallback);
   }
 
-  /** A row that can't be read shows at least that something has run. */
+  /** Returns the state in the row. A row that cannot be decoded counts as
+   * Running, because a row exists only after a task of the job has run. */
   static JobState StateIn(const RowPage& aPage)
   {
     if (aPage.rows_.empty()) {
--- a/Source/Process/TableWatch.h
+++ b/Source/Process/TableWatch.h
@@ -17,7 +17,7 @@
 
 namespace cactusrail {
 
-/** Whether a table is only read, or followed from then on. */
+/** Whether changes of a table are followed after the initial read. */
 enum class TableUse : std::uint8_t
 {
   ReadOnce,
@@ -25,9 +25,9 @@
 };
 
 /**
- * Keeps up with one table: reads it whole, then follows its changes; reads it
- * whole again when the store has dropped its history. Rows may come twice.
- * Owned by what uses it.
+ * Reads a whole table and then follows its changes. Reads the whole table again
+ * when the store has dropped its change history. A row may be reported twice.
+ * Owned by its user.
  */
 template<RowStore Store>
 class TableWatch : public QObject
@@ -61,12 +61,12 @@
     }
   }
 
-  /** What was stored before then has been handed on; the clock's zero before
-   * the table has been read once. */
+  /** Returns the time before which all stored rows have been reported; the zero
+   * of the clock until the first read of the table is complete. */
   Instant CurrentAsOf() const { return currentAsOf_; }
 
 private:
-  /** Where the reading of the table goes on. */
+  /** Position at which the read of a part continues. */
   struct Position
   {
     std::size_t part_ = 0;
@@ -76,9 +76,10 @@
   static constexpr std::size_t kReadsAtOnce = 8;
   static constexpr Millis kReadTimeout{ 2000 };
   static constexpr Millis kRetry{ 200 };
-  /** A watch without a change returns after this. A connection may fall silent
-   * without an end (a cut, a frozen peer): the client gives the watch up soon
-   * after, so a change is missed for less than two seconds after the cut. */
+  /** Timeout of a watch without a change. A connection may stop delivering data
+   * without being closed (network partition, frozen peer). The client abandons
+   * the watch shortly after this timeout, so a change is reported less than two
+   * seconds after the partition. */
   static constexpr Millis kWait{ 800 };
 
   void ReadNextPart()
@@ -106,15 +107,16 @@
         kRetry, this, [this, aPosition] { ReadFrom(aPosition); });
       return;
     }
-    // Changes are followed from the oldest page on: what changes while the
-    // others are read comes twice rather than never.
+    // Follows changes from the oldest page on, so that a row that changes while
+    // other pages are read is reported twice instead of being missed.
     version_ = std::min(version_, page->version_);
     readAsOf_ = std::min(readAsOf_, aSentAt);
     for (const Row& row : page->rows_) {
       onRow_(row);
     }
     if (page->more_ && !page->rows_.empty()) {
-      // No key of ours has a character before the space.
+      // Keys contain no character below the space, so the key with a space
+      // appended is the first one that can follow.
       ReadFrom({ aPosition.part_, page->rows_.back().id_.key_ + " " });
       return;
     }
@@ -167,12 +169,12 @@
   RowCallback onRow_;
   std::function<void()> onRead_;
   std::size_t nextPart_ = 0;
-  /** Parts that have not been read to their end. */
+  /** Number of parts that have not been read completely. */
   std::size_t unread_ = 0;
   std::uint64_t version_ = 0;
-  /** When the watch that is under way was sent. */
+  /** Time at which the watch in flight was sent. */
   Instant sentAt_;
-  /** When the first page of the reading under way was asked for. */
+  /** Time at which the first page of the current read was requested. */
   Instant readAsOf_;
   Instant currentAsOf_;
 };
