--- a/Source/Process/FleetEntry.h
+++ b/Source/Process/FleetEntry.h
@@ -34,7 +34,7 @@
 
 namespace cactusrail {
 
-/** What an entry of the fleet needs of the platform it runs on. */
+/** Requirements of an entry of the fleet on its platform. */
 template<typename Platform>
 concept EntryPlatform = RowStore<typename Platform::Store> &&
   requires(const HttpExchange& aExchange,
@@ -60,8 +60,9 @@
 };
 
 /**
- * An entry of the fleet: takes callers' jobs and questions; one of all entries
- * leads, and places the work. Keeps nothing that must last. Owned by main.
+ * Entry of the fleet: accepts jobs and queries of callers. One of the entries
+ * is the leader and places the work. Holds no state that must survive a
+ * restart. Owned by main.
  */
 template<EntryPlatform Platform>
 class FleetEntry : public QObject
@@ -89,8 +90,8 @@
   }
 
   /**
-   * Begins a planned stop: says that it is not ready, goes on serving until the
-   * balancer has noticed, then closes.
+   * Starts a planned stop: reports that the entry is not ready, serves requests
+   * until the load balancer has read that, and then closes.
    */
   void Stop(std::function<void()> aDone)
   {
@@ -113,22 +114,24 @@
   }
 
 private:
-  /** What is taken last is answered within this. */
+  /** Maximum time to answer the requests that are accepted last. */
   static constexpr Millis kLastAnswers{ 1500 };
   static constexpr Millis kStopCheck{ 50 };
-  /** The process is gone this long before the stop's bound. */
+  /** Margin by which the process exits before the bound of the stop. */
   static constexpr Millis kStopMargin{ 800 };
-  /** The leader answers from memory; a store's answer takes some 10 ms. */
+  /** Timeout of a request to the leader. The leader answers from memory; an
+   * answer of the store takes about 10 ms. */
   static constexpr Millis kAskTimeout{ 350 };
-  /** For this entry to store something for another. */
+  /** Timeout of a write to the store on behalf of another entry. */
   static constexpr Millis kPeerStoreTimeout{ 1000 };
-  /** It is asked every 0.7 s, and a call is given up after 1 s. */
+  /** Time without an answer after which the table counts as unresponsive. The
+   * table is called every 0.7 s, and a call times out after 1 s. */
   static constexpr Millis kTableSilent{ 2000 };
-  /** Left of a caller's time for the answer's way. */
+  /** Part of a caller's timeout that is reserved for sending the answer. */
   static constexpr Millis kAnswerMargin{ 250 };
-  /** For the leader to store something, its own retries included. */
+  /** Timeout of a write by the leader, including its retries. */
   static constexpr Millis kStoreTimeout{ 800 };
-  /** Between writes of something that may be stored already. */
+  /** Interval between retries of a write that may already be stored. */
   static constexpr Millis kDoubtRetry{ 100 };
 
   using Answer = std::function<void(const CallerReply&)>;
@@ -231,7 +234,7 @@
       std::make_shared<const FleetConfiguration>(std::move(configuration));
   }
 
-  // Leading.
+  // Leadership.
 
   bool IsLeading() const { return lead_ != nullptr && lead_->Loaded(); }
 
@@ -266,7 +269,7 @@
       return;
     }
     LogChange("leading-ended", { { "epoch", std::to_string(leadEpoch_) } });
-    // It may be what is calling.
+    // Deletes the leader later, because this may run in one of its callbacks.
     std::shared_ptr<FleetLead<Store>> ended(std::move(lead_));
     QTimer::singleShot(0, this, [ended] {});
   }
@@ -293,13 +296,15 @@
     });
   }
 
-  /** A peer that has read the leader's row a moment ago, so it reaches the
-   * table. */
+  /** Handles the hello of a peer. The peer has just read the leader row, so it
+   * reaches the table. */
   void OnPeerHello(SideLink* aLink, const FleetHelloMessage& aHello)
   {
     const double processors = aHello.milliProcessors_ / 1000.0;
     if (lead_ != nullptr && lease_.Lease().HandsOverTo(processors)) {
-      YieldTo(aLink, "its host has more processors: " + aHello.node_);
+      YieldTo(aLink,
+              "the other entry runs on a host with more processors: " +
+                aHello.node_);
     }
   }
 
@@ -321,7 +326,9 @@
     const bool reachesTable = aAsk.question_ == FleetQuestion::JobStored ||
                               aAsk.question_ == FleetQuestion::CancelStored;
     if (reachesTable && lead_ != nullptr && TableIsSilent()) {
-      YieldTo(aLink, "the asker has written to the table, silent to this one");
+      YieldTo(aLink,
+              "the requesting entry has written to the table, which is "
+              "unresponsive to this leader");
     }
     AnswerAsk(aAsk, [link, id](FleetAnswerMessage aAnswer) {
       if (id != 0 && !link.isNull()) {
@@ -337,7 +344,7 @@
     return { 0, aOutcome, aValue };
   }
 
-  /** Answers a question to the leader, of another entry or of this one. */
+  /** Answers a request to the leader from another entry or from this one. */
   void AnswerAsk(const FleetAskMessage& aAsk,
                  const std::function<void(FleetAnswerMessage)>& aAnswer)
   {
@@ -419,7 +426,7 @@
     intake_.StoreJob(std::get<JobDescription>(spec), deadline, answer);
   }
 
-  /** Asks the leader, which may be this entry. */
+  /** Sends a request to the leader, which may be this entry. */
   void AskLeader(FleetQuestion aQuestion,
                  const std::string& aSubject,
                  std::string aRecord,
@@ -456,7 +463,7 @@
 
   // Callers.
 
-  /** The table has answered nothing for a while. */
+  /** Returns whether the table has not answered within kTableSilent. */
   bool TableIsSilent() const
   {
     Instant answered = std::max(lease_.AnsweredAt(), intake_.AnsweredAt());
@@ -466,7 +473,8 @@
     return ReadMonotonicClock() - answered > kTableSilent;
   }
 
-  /** Neither the table nor the leader can be reached: nothing can be taken. */
+  /** Returns whether neither the table nor another leader is reachable, so that
+   * no job can be accepted. */
   bool IsCutOff() const
   {
     return TableIsSilent() && (lead_ != nullptr || !leader_.Usable());
@@ -510,7 +518,7 @@
                call.what_);
   }
 
-  /** What a caller asks, as the metrics page tells requests apart. */
+  /** Returns the label of the request kind on the metrics page. */
   static const char* KindOf(const CallerCall& aCall)
   {
     constexpr std::array<const char*, 5> kKinds{
@@ -519,7 +527,7 @@
     return kKinds.at(aCall.what_.index());
   }
 
-  /** The job that a caller hands in or cancels; empty for a question. */
+  /** Returns the job that a caller submits or cancels; empty for a query. */
   static std::string JobOf(const CallerCall& aCall)
   {
     if (const auto* submit = std::get_if<SubmitJob>(&aCall.what_)) {
@@ -529,8 +537,8 @@
     return cancel == nullptr ? std::string() : cancel->job_;
   }
 
-  /** One line for each job that is handed in or cancelled, whatever became of
-   * it, with what the answer rested on. */
+  /** Logs one line for each submission or cancellation of a job, with the
+   * verdict and the state on which the answer is based. */
   void LogAnswer(const std::string& aJob,
                  const char* aKind,
                  const CallerReply& aReply,
@@ -580,10 +588,13 @@
                     aAnswer);
     };
     if (IsCutOff()) {
-      // Nothing has been tried, so it has surely not been taken; another entry
-      // may be better off, and the caller's time is short.
+      // No write was attempted, so the job is not stored and the caller can
+      // retry at once. Another entry may reach the table, and the caller's
+      // timeout is short.
       aAnswer(
-        ReplyTryLater("This entry reaches nothing that it could store with."));
+        ReplyTryLater("This entry cannot store the job, because it reaches "
+                      "neither the table service nor another leader; "
+                      "retry at another entry."));
       return;
     }
     if (intake_.InTrouble() && lead_ == nullptr && leader_.Usable()) {
@@ -599,11 +610,13 @@
           aAnswer(ReplyOf(CallerOutcome::Stored));
         } else if (aOutcome == IntakeOutcome::InDoubt) {
           aAnswer(ReplyOf(CallerOutcome::InDoubt,
-                          "The table service did not answer in time."));
+                          "The table service did not answer in time; query the "
+                          "job's state."));
         } else if (lead_ == nullptr && leader_.Usable()) {
           viaLeader();
         } else {
-          aAnswer(ReplyTryLater("The table service takes nothing now."));
+          aAnswer(ReplyTryLater(
+            "The table service accepts no writes now; retry later."));
         }
       });
   }
@@ -618,25 +631,28 @@
     const Millis left =
       std::chrono::duration_cast<Millis>(aDeadline - kAnswerMargin - now);
     const std::string record = aRecord;
-    AskLeader(
-      aQuestion,
-      aJob,
-      std::move(aRecord),
-      std::clamp(left, kAskTimeout, kStoreTimeout),
-      [this, aQuestion, aJob, record, aDeadline, aAnswer](
-        const std::optional<FleetAnswerMessage>& aReply) {
-        if (!aReply.has_value() || aReply->outcome_ == FleetOutcome::InDoubt) {
-          // It may be stored, or not: the same write again makes sure.
-          StoreInDoubt(aQuestion, aJob, record, aDeadline, aAnswer);
-        } else if (aReply->outcome_ == FleetOutcome::Ok) {
-          aAnswer(ReplyOf(CallerOutcome::Stored));
-        } else {
-          aAnswer(ReplyTryLater("The table service takes nothing now."));
-        }
-      });
+    AskLeader(aQuestion,
+              aJob,
+              std::move(aRecord),
+              std::clamp(left, kAskTimeout, kStoreTimeout),
+              [this, aQuestion, aJob, record, aDeadline, aAnswer](
+                const std::optional<FleetAnswerMessage>& aReply) {
+                if (!aReply.has_value() ||
+                    aReply->outcome_ == FleetOutcome::InDoubt) {
+                  // The outcome is unknown; a repeat of the same write resolves
+                  // it.
+                  StoreInDoubt(aQuestion, aJob, record, aDeadline, aAnswer);
+                } else if (aReply->outcome_ == FleetOutcome::Ok) {
+                  aAnswer(ReplyOf(CallerOutcome::Stored));
+                } else {
+                  aAnswer(ReplyTryLater(
+                    "The table service accepts no writes now; retry later."));
+                }
+              });
   }
 
-  /** Stores what may be stored already; never says that it is not. */
+  /** Repeats a write that may already be stored. Never answers that it is not
+   * stored. */
   void StoreInDoubt(FleetQuestion aQuestion,
                     const std::string& aJob,
                     const std::string& aRecord,
@@ -664,8 +680,9 @@
           });
         return;
       }
-      aAnswer(ReplyOf(CallerOutcome::InDoubt,
-                      "The table service did not answer in time."));
+      aAnswer(ReplyOf(
+        CallerOutcome::InDoubt,
+        "The table service did not answer in time; query the job's state."));
     };
     const Result<JobDescription> spec = DecodeRecord<JobDescription>(aRecord);
     if (aQuestion == FleetQuestion::StoreCancel) {
@@ -742,12 +759,14 @@
           aAnswer(ReplyOf(CallerOutcome::Stored));
         } else if (aOutcome == IntakeOutcome::InDoubt) {
           aAnswer(ReplyOf(CallerOutcome::InDoubt,
-                          "The table service did not answer in time."));
+                          "The table service did not answer in time; query the "
+                          "job's state."));
         } else if (lead_ == nullptr && leader_.Usable()) {
           StoreByLeader(
             FleetQuestion::StoreCancel, aJob, {}, aDeadline, aAnswer);
         } else {
-          aAnswer(ReplyTryLater("The table service takes nothing now."));
+          aAnswer(ReplyTryLater(
+            "The table service accepts no writes now; retry later."));
         }
       });
   }
@@ -761,7 +780,8 @@
               [aAnswer](const std::optional<FleetAnswerMessage>& aReply) {
                 if (!aReply.has_value() ||
                     aReply->outcome_ != FleetOutcome::Ok) {
-                  aAnswer(ReplyTryLater("No entry leads at the moment."));
+                  aAnswer(ReplyTryLater(
+                    "No entry is the leader at the moment; retry later."));
                   return;
                 }
                 CallerReply reply = ReplyOf(CallerOutcome::Waiting);
@@ -770,7 +790,7 @@
               });
   }
 
-  // The end.
+  // Stop.
 
   void CheckStopped()
   {
--- a/Source/Process/FleetSide.h
+++ b/Source/Process/FleetSide.h
@@ -28,17 +28,18 @@
 
 namespace cactusrail {
 
-/** The worker says that it ends now. */
+/** Message of a worker that it is about to exit. */
 struct WorkerFarewell
 {
   std::string id_;
 };
 
-/** What a worker tells the side next to it; none for anything else. */
+/** Message of a worker to the side on its host; monostate for any other
+ * message. */
 using WorkerNotice =
   std::variant<std::monostate, WorkerAnnouncement, WorkerFarewell>;
 
-/** What a side of the fleet needs of the platform it runs on. */
+/** Requirements of a side of the fleet on its platform. */
 template<typename Platform>
 concept SidePlatform = RowStore<typename Platform::Store> &&
   requires(typename Platform::WorkerClient& aClient,
@@ -56,8 +57,8 @@
 };
 
 /**
- * A side of the fleet: looks after the worker on its host for the entry that
- * leads. Owned by main.
+ * Side of the fleet: manages the worker on its host on behalf of the leading
+ * entry. Owned by main.
  */
 template<SidePlatform Platform>
 class FleetSide : public QObject
@@ -78,7 +79,8 @@
 
   ~FleetSide() override { DropLink(); }
 
-  /** Takes leases as long as allowed, so that work outlives a restart. */
+  /** Starts a planned stop. Extends the leases as far as allowed, so that runs
+   * survive a restart of the side. */
   void Stop(std::function<void()> aDone)
   {
     LogChange("stopping", { { "runs", std::to_string(keeper_.RunCount()) } });
@@ -91,7 +93,7 @@
     Pump();
   }
 
-  /** The worker that is there; empty for none. */
+  /** Returns the id of the current worker; empty if there is none. */
   const std::string& WorkerId() const { return keeper_.WorkerId(); }
 
   std::string Describe() const
@@ -102,13 +104,14 @@
 
 private:
   static constexpr Millis kTick{ 50 };
-  /** Two readings of the clocks in a row differ by less. */
+  /** Change of the offset between the two clocks that indicates a suspension.
+   * Consecutive readings without a suspension differ by less. */
   static constexpr Millis kSuspended{ 20 };
   static constexpr Millis kStopBound{ 1500 };
   static constexpr Millis kRegisterTimeout{ 1500 };
   static constexpr Millis kDeregisterTimeout{ 1000 };
   static constexpr Millis kRegisterRetry{ 300 };
-  /** A leader that sent nothing for so long is taken for lost. */
+  /** Timeout without a message after which the link to the leader is closed. */
   static constexpr Millis kSilentLeader{ 3000 };
 
   explicit FleetSide(const FleetSideSettings& aSettings)
@@ -116,8 +119,8 @@
     , life_(aSettings.fleet_.name_ + "-" + std::to_string(ReadWallClock()))
     , store_(aSettings.fleet_.store_)
     , worker_(aSettings.worker_)
-    // The wall clock rises from life to life; should it be set back, the first
-    // refusal makes up for it.
+    // The wall clock increases between incarnations. If the clock was set back,
+    // the keeper raises the fence on the first refusal.
     , keeper_({ aSettings.maxLease_,
                 aSettings.stopTimeout_,
                 static_cast<std::uint64_t>(ReadWallClock() / 1000) },
@@ -175,7 +178,7 @@
     Pump();
   }
 
-  // The leader.
+  // Link to the leader.
 
   void OnKey()
   {
@@ -190,10 +193,10 @@
   }
 
   /**
-   * Looks whether leaders know this side from a former life.
+   * Reads whether the table has a row of an earlier incarnation of this side.
    *
-   * A leader that takes over waits for each side that has a row. A side that
-   * has no row and no worker writes none: nothing can run there.
+   * A leader that takes over waits for each side that has a row. A side without
+   * a row and without a worker writes none, because nothing can run there.
    */
   void FindFormerRow()
   {
@@ -211,7 +214,8 @@
                 }));
   }
 
-  /** Writes the row once leaders have reason to look for it. */
+  /** Registers this side if it has a worker or a row of an earlier
+   * incarnation, unless it has registered already. */
   void RegisterIfKnown()
   {
     if (!formerRow_.has_value() || registeredAt_ != Instant()) {
@@ -249,10 +253,11 @@
   }
 
   /**
-   * Removes this side's row: its worker has left, nothing runs here.
+   * Removes the row of this side, whose worker has left and has no runs.
    *
-   * A leader that takes over waits for each side that has a row. The version
-   * makes a removal that is carried out late harmless to a later life's row.
+   * A leader that takes over waits for each side that has a row. The removal is
+   * conditional on the row version, so a removal that is executed late does not
+   * affect the row of a later incarnation.
    */
   void Deregister()
   {
@@ -355,7 +360,8 @@
     Pump();
   }
 
-  /** Tells the keeper how long the host was suspended since the last time. */
+  /** Detects a suspension of the host since the last call and reports its
+   * duration to the keeper. */
   void NoteSuspension(Instant aNow)
   {
     const Micros apart = aNow - ReadRunningClock();
@@ -402,19 +408,21 @@
   std::unique_ptr<HttpFront> metrics_;
   std::unique_ptr<LinkListener> listener_;
   QPointer<SideLink> link_;
-  /** Of link_. */
+  /** Encoder state of link_. */
   ReportEncoder reports_;
   std::uint64_t linkEpoch_ = 0;
   Instant heardAt_;
   Instant registeredAt_;
   bool registering_ = false;
-  /** Whether the table holds a row of a former life; none until it said. */
+  /** Whether the table has a row of an earlier incarnation; std::nullopt until
+   * the table has been read. */
   std::optional<bool> formerRow_;
-  /** Of this side's row, as it was last written. */
+  /** Version of this side's row as last written. */
   std::uint64_t memberVersion_ = 0;
   bool deregistering_ = false;
   QTimer tick_;
-  /** The lease clock less the one that stands still when suspended. */
+  /** Monotonic clock that includes suspended time minus the clock that does
+   * not. */
   Micros clocksApart_{ 0 };
   bool clocksKnown_ = false;
   Instant stopBound_;
--- a/Source/Process/ProgressWriter.h
+++ b/Source/Process/ProgressWriter.h
@@ -20,8 +20,8 @@
 namespace cactusrail {
 
 /**
- * Writes the leader's records, one transaction after another, each conditioned
- * on the head row; see ProgressHead. Owned by the part of an entry that leads.
+ * Writes the records of the leader in sequential transactions, each conditional
+ * on the head row; see ProgressHead. Owned by FleetLead.
  */
 template<RowStore Store>
 class ProgressWriter : public QObject
@@ -33,7 +33,8 @@
   {
   }
 
-  /** Makes this the only leader that can write; calls back when it is. */
+  /** Claims the head row for this epoch. Calls aFenced once no earlier leader
+   * can write, or aDeposed if the head row has a higher epoch. */
   void Fence(std::function<void()> aFenced, std::function<void()> aDeposed)
   {
     fenced_ = std::move(aFenced);
@@ -41,7 +42,8 @@
     ReadHead();
   }
 
-  /** One batch at a time; calls back once all of it is stored. */
+  /** Writes one batch and calls aStored once all of it is stored. Must not be
+   * called while Busy(). */
   void Write(const ProgressBatch& aBatch,
              const std::vector<std::string>& aRemovals,
              std::function<void()> aStored)
@@ -63,7 +65,8 @@
 private:
   static constexpr Millis kTimeout{ 1500 };
   static constexpr Millis kRetry{ 100 };
-  /** The table takes 100 rows and 1 MB at once; the head is one of them. */
+  /** The table accepts up to 100 rows and 1 MB per transaction, including the
+   * head row. */
   static constexpr std::size_t kMaxRows = 90;
   static constexpr std::size_t kMaxBytes = 600000;
 
@@ -151,7 +154,8 @@
         Later(&ProgressWriter::WriteNext);
         return;
       case CommitOutcome::Conflict:
-        // Written late by an earlier try of ours, or by a next leader.
+        // An earlier attempt of this writer was applied late, or a newer leader
+        // has written the head row.
         ReadHead();
         return;
       case CommitOutcome::Doubt:
@@ -186,9 +190,9 @@
   Store& store_;
   std::uint64_t epoch_;
   std::uint64_t sequence_ = 0;
-  /** The head row's version that the next transaction rests on. */
+  /** Version of the head row on which the next transaction is conditional. */
   std::uint64_t version_ = 0;
-  /** The head of the transaction that may be under way. */
+  /** Head row of the transaction that may be in flight. */
   std::optional<ProgressHead> writing_;
   std::vector<RowPut> puts_;
   std::vector<RowId> removals_;
--- a/Source/Process/WorkerKeeper.cxx
+++ b/Source/Process/WorkerKeeper.cxx
@@ -7,41 +7,44 @@
 
 namespace {
 
-/** A worker on the same host answers an order within some ms; one in twenty is
- * left without an answer on a bad day, and asking again is harmless. */
+/** Timeout of an order. A worker on the same host answers within a few ms;
+ * under bad conditions one order in twenty has no answer, and a retry is
+ * harmless. */
 constexpr Millis kOrderTimeout{ 400 };
-/** Added to the time that a stop takes at most. */
+/** Margin added to the maximum duration of a stop. */
 constexpr Millis kStopMargin{ 100 };
-/** A pause before an order that was not taken is tried again. */
+/** Delay before the retry of an order that was not accepted. */
 constexpr Millis kOrderRetry{ 100 };
-/** Beyond what a hold waits by itself. */
+/** Timeout of a hold in addition to its own wait. */
 constexpr Millis kHoldTimeout{ 700 };
-/** A hold waits so long for an end; progress is reported as often. */
+/** Maximum wait of a hold for an end; also the interval at which progress is
+ * read. */
 constexpr Millis kHoldWait{ 500 };
 constexpr Millis kIdleHoldWait{ 1500 };
-/** Ends that are not stored yet make a hold return at once; the next one waits
- * for the leader so long. */
+/** Delay of the next hold while ends are not stored. Such ends make a hold
+ * return at once, so the delay gives the leader time to store them. */
 constexpr Millis kUnstoredPause{ 150 };
 constexpr Millis kHoldRetry{ 150 };
-/** A worker's port that refuses so many times in a row, 150 ms apart, after
- * this side started has no worker behind it. */
+/** Number of consecutive refusals of the worker's port, 150 ms apart, after the
+ * start of this side that show that no worker is running. */
 constexpr std::uint32_t kRefusalsOfNothing = 3;
-/** Orders under way at once, of the 64 connections that a worker takes. */
+/** Limit of orders in flight; a worker accepts 64 connections. */
 constexpr std::size_t kMaxOpenOrders = 24;
-/** A worker that has not answered for so long gets no new work. */
+/** Time without an answer after which a worker gets no new work. */
 constexpr Millis kSilence{ 1600 };
-/** Leases of a worker that has not answered for so long are not renewed: each
- * renewal without an answer may still be carried out, so the time by which all
- * leases are surely over would never come for a worker that is gone for good.
+/** Time without an answer after which leases are no longer renewed. The worker
+ * may still execute each renewal without an answer, so for a worker that is
+ * gone for good the latest possible end of the leases would never be reached.
  */
 constexpr Millis kRenewUnanswered{ 2500 };
-/** News that can wait is gathered for so long: starts that were taken, and
- * figures. */
+/** Interval between reports of changes that are not urgent, such as accepted
+ * starts and measurements. */
 constexpr Millis kReportSpacing{ 100 };
-/** Added to a lease's end on our clock: the way of the call. */
+/** Margin added to the end of a lease on the clock of this side, for the
+ * latency of the call. */
 constexpr Millis kLeaseMargin{ 200 };
-/** A fence that is too low, as the wall clock was set back, rises by an hour's
- * worth: more than any correction of a clock. */
+/** Increase of a fence that is too low because the wall clock was set back: one
+ * hour in ms, which is more than any clock correction. */
 constexpr std::uint64_t kFenceJump = 3600000;
 
 Millis
@@ -73,7 +76,7 @@
 {
   const Millis authority =
     std::chrono::duration_cast<Millis>(authorityUntil_ - aNow);
-  // A clock that is slow makes a lease last longer than asked for.
+  // A slow clock of the worker makes a lease last longer than requested.
   const auto allowed = std::chrono::duration_cast<Millis>(
     authority * (1 - kWorkerClockDrift) - kLeaseMargin);
   const Millis lease = std::min(aLease, allowed);
@@ -96,8 +99,8 @@
     return;
   }
   if (id != facts_.id_) {
-    // Either the worker crashed and lives anew, or this announcement of an
-    // earlier life was held up on its way: the worker itself is asked.
+    // Either the worker has restarted after a crash, or this announcement of an
+    // earlier incarnation was delayed. A probe of the worker decides.
     candidate_ = aAnnouncement;
     nextHoldAt_ = aNow;
     return;
@@ -160,8 +163,8 @@
 void
 WorkerKeeper::OnWorkerLeft(const std::string& aWorkerId, Instant aNow)
 {
-  // It ends once its farewell is answered, or some seconds later if the answer
-  // is lost; until its port refuses, what runs there may still run.
+  // The worker exits once this message is answered, or some seconds later if
+  // the answer is lost. Its runs may continue until its port refuses.
   if (candidate_.has_value() && candidate_->facts_.id_ == aWorkerId) {
     candidate_.reset();
   }
@@ -176,7 +179,7 @@
 void
 WorkerKeeper::EndLife()
 {
-  // What ran there ended with it.
+  // The runs of a worker end with its process.
   leaving_ = false;
   pastLives_.insert(facts_.id_);
   facts_ = WorkerDescription();
@@ -213,8 +216,8 @@
   watchUntil_ = Instant(Micros(
     static_cast<std::int64_t>(aOrders.echoMicros_ + aOrders.watchMicros_)));
   if (aOrders.workerId_ != facts_.id_) {
-    // Meant for a life that is over: its runs are gone, as the next report
-    // says.
+    // The orders address a past incarnation of the worker, whose runs are gone;
+    // the next report shows that.
     reportDue_ = true;
     return true;
   }
@@ -254,12 +257,13 @@
 void
 WorkerKeeper::OnSuspended(Millis aGap)
 {
-  // The worker's clock stood still as well: counting on from its last reading
-  // would place a lease's end that much too late.
+  // The worker's clock stopped during the suspension as well. Extrapolation
+  // from its last reading would set the end of a lease too late by aGap.
   if (clockReadAt_ != Instant()) {
     clockReadAt_ += aGap;
   }
-  // Nor was the worker silent meanwhile: nobody asked it.
+  // The worker received no call during the suspension, so that time does not
+  // count as time without an answer.
   renewUntil_ += aGap;
 }
 
@@ -400,11 +404,12 @@
 }
 
 /**
- * Why a start that has no answer yet should not be called again; none if it
- * should.
+ * Returns why a start without an answer must not be called again; std::nullopt
+ * if it may be.
  *
- * A worker that leaves takes new runs for a short while only. And a late call
- * would start a task whose job has been cancelled meanwhile.
+ * A worker that is leaving accepts new runs only for a short time. A call after
+ * the expiry of the order could start a task whose job has been cancelled in
+ * the meantime.
  */
 std::optional<StartRefusal>
 WorkerKeeper::WhyTakeBack(const LocalRun& aRun, Instant aNow) const
@@ -435,12 +440,13 @@
 }
 
 /**
- * Gives back a start that the worker has not taken; returns the next run.
+ * Withdraws a start that the worker has not accepted; returns the next run.
  *
- * A call without an answer may be carried out yet, and only a stop makes the
- * worker refuse it for good. It may have been carried out already, too, and the
- * run may have ended. So after a doubt a start is stopped, and is refused once
- * the worker has listed it nowhere for as long as a stop may take.
+ * The worker may still execute a call without an answer, and only a stop makes
+ * it refuse that call permanently. It may also have executed the call already,
+ * and the run may have ended. A start with an unknown outcome is therefore
+ * stopped first. It is refused once the worker has listed the run neither as
+ * running nor as ended for the maximum duration of a stop.
  */
 WorkerKeeper::Runs::iterator
 WorkerKeeper::GiveBack(Runs::iterator aEntry, StartRefusal aWhy)
@@ -454,7 +460,7 @@
   return Refuse(aEntry, aWhy);
 }
 
-/** Tells the leader that the run surely never started; returns the next. */
+/** Reports to the leader that the run did not start; returns the next run. */
 WorkerKeeper::Runs::iterator
 WorkerKeeper::Refuse(Runs::iterator aEntry, StartRefusal aWhy)
 {
@@ -473,8 +479,8 @@
     return calls;
   }
   TakeBackStarts(aNow);
-  // Before the first hold was answered, calls of an earlier life of this side
-  // may still be carried out; the hold raises the fence.
+  // Until the first hold is answered, the worker may still execute calls of an
+  // earlier incarnation of this side; the hold raises the fence.
   if (known_ && aNow >= settledAt_ && !stopping_) {
     AddOrders(calls, aNow);
   }
@@ -505,9 +511,9 @@
     refusals_ = 0;
     return;
   }
-  // Its host came up anew and the worker has not: nothing runs there. Without
-  // this a leader waits for all leases that might exist, some ten seconds after
-  // a loss of power.
+  // The host has restarted and the worker has not, so nothing runs there.
+  // Without this check a leader would wait for the end of all possible leases,
+  // about ten seconds after a power failure.
   if (++refusals_ >= kRefusalsOfNothing) {
     known_ = true;
     settledAt_ = aNow;
@@ -527,7 +533,7 @@
   if (answers || aNow <= leasesOverAt_) {
     return;
   }
-  // A worker that answers nothing has lost all leases by now.
+  // All leases of the unresponsive worker have expired by now.
   if (leaving_) {
     EndLife();
   } else if (!runs_.empty()) {
@@ -619,9 +625,10 @@
     case CallOutcome::Fenced:
     case CallOutcome::Late:
     case CallOutcome::WrongLife:
-      // Asked again; a wrong life shows in the next hold.
+      // The start is retried; the next hold detects a wrong incarnation.
       run.doubted_ = run.doubted_ || aAnswer.outcome_ == CallOutcome::Doubt;
-      // From when it was called: a worker may close each call at once.
+      // The delay counts from the time of the call, so that a worker that
+      // closes each connection at once is not called again at once.
       run.nextCallAt_ = std::max(aNow, aCall.sentAt_ + kOrderRetry);
       return;
     case CallOutcome::Old:
@@ -637,7 +644,7 @@
       break;
   }
   if (why == StartRefusal::Old) {
-    // It ran and ended before this answer: the end is listed, or was stored.
+    // The run ended before this answer; its end is listed or already stored.
     run.phase_ = Phase::Running;
     run.answeredAt_ = aNow;
     return;
@@ -662,8 +669,8 @@
     run.nextCallAt_ = aNow + kOrderRetry;
     return;
   }
-  // Whether the run had started by then, only the worker's lists say: it
-  // answers a stop in the same way whatever became of the run.
+  // A worker answers each stop in the same way, so only its lists of runs and
+  // ends show whether the run had started.
   run.stopAnswered_ = true;
   run.answeredAt_ = aNow;
 }
@@ -679,7 +686,7 @@
     return;
   }
   if (aAnswer.outcome_ == CallOutcome::WrongLife && !candidate_.has_value()) {
-    // Another life answers at its address, so this one is over.
+    // Another incarnation answers at this address, so this one has ended.
     EndLife();
     return;
   }
@@ -738,10 +745,10 @@
                             const std::set<RunKey>& aListed,
                             Instant aNow)
 {
-  // What is listed nowhere, although it was asked for after the run's last
-  // order was answered, may still be stopping: it keeps its room until a stop
-  // must be over. Forgotten at once, its task started elsewhere while it still
-  // ran, and its room was given away twice.
+  // A run that the worker does not list in an answer to a hold sent after the
+  // run's last order was answered may still be stopping. Its resources stay
+  // reserved for the maximum duration of a stop. Otherwise its task would start
+  // elsewhere while it still runs, and its resources would be assigned twice.
   for (auto entry = runs_.begin(); entry != runs_.end();) {
     LocalRun& run = entry->second;
     const bool settled = run.phase_ == Phase::Running || run.stopAnswered_;
--- a/Source/Process/WorkerKeeper.h
+++ b/Source/Process/WorkerKeeper.h
@@ -16,19 +16,21 @@
 
 namespace cactusrail {
 
-/** What every call to a worker carries. */
+/** Fields that all calls to a worker have in common. */
 struct CallHead
 {
   std::uint64_t id_ = 0;
-  /** The worker's life that is meant; another one refuses. */
+  /** Incarnation of the worker to which the call applies; any other incarnation
+   * refuses it. */
   std::string workerId_;
-  /** Rises with each life of the side; the worker obeys the highest only. */
+  /** Increases with each incarnation of the side; the worker accepts only calls
+   * with the highest fence that it has received. */
   std::uint64_t fence_ = 0;
-  /** The call is given up then. */
+  /** Time at which the call is abandoned. */
   Instant deadline_;
 };
 
-/** Starts a run; its lease ends at leaseUntilMs_ of the worker's clock. */
+/** Starts a run whose lease ends at leaseUntilMs_ of the worker's clock. */
 struct StartCall
 {
   CallHead head_;
@@ -48,121 +50,136 @@
   PaceOrder order_;
 };
 
-/** Extends the lease of all that runs, and asks what runs and what ended. */
+/** Extends the leases of all runs and requests the lists of runs and ends. */
 struct HoldCall
 {
   CallHead head_;
-  /** None: look only. */
+  /** New end of the leases, in ms of the worker's clock; std::nullopt requests
+   * the lists only. */
   std::optional<std::int64_t> leaseUntilMs_;
-  /** The worker may forget ends up to this one. */
+  /** Number of the last stored end; the worker may drop ends up to it. */
   std::uint64_t endsStored_ = 0;
-  /** The answer waits so long for an end. */
+  /** Maximum time that the worker waits for an end before it answers. */
   Millis wait_{ 0 };
 };
 
 using WorkerCall = std::variant<StartCall, StopCall, PaceCall, HoldCall>;
 
-/** How a worker took a call. */
+/** Result of a call to a worker. */
 enum class CallOutcome : std::uint8_t
 {
   Accepted,
-  /** It obeys a higher fence. */
+  /** Refused, because the worker has received a higher fence. */
   Fenced,
-  /** It has seen this run, or a later one, end. */
+  /** Refused, because this run or a later run of its task has ended. */
   Old,
-  /** The lease asked for is over already. */
+  /** Refused, because the requested lease has already expired. */
   Late,
+  /** Refused, because the worker lacks the resources. */
   NoRoom,
-  /** The advice ticket is not valid. */
+  /** Refused, because the advice ticket is not valid. */
   Ticket,
-  /** It surely did nothing. */
+  /** The call had no effect. */
   NotDone,
-  /** Another life of the worker answered. */
+  /** Refused by another incarnation of the worker. */
   WrongLife,
-  /** No answer: it may have done it, or may do it seconds later. */
+  /** No answer; the worker may have executed the call or may execute it seconds
+   * later. */
   Doubt,
 };
 
-/** A worker's answer to any call. */
+/** Answer of a worker to a call of any type. */
 struct CallAnswer
 {
   CallOutcome outcome_ = CallOutcome::Doubt;
-  /** The worker's clock when it answered; none without an answer. */
+  /** Clock of the worker at the time of the answer; std::nullopt without an
+   * answer. */
   std::optional<std::int64_t> clockMs_;
-  /** Of a hold: what runs, and the ends it still lists. */
+  /** Answer to a hold: current runs, and ends that the worker still lists. */
   std::vector<RunFact> runs_;
   std::vector<EndFact> ends_;
-  /** The list of ends was cut; more will follow. */
+  /** The list of ends was truncated; later answers contain the rest. */
   bool endsCut_ = false;
 };
 
-/** A worker as it announced itself, with its clock. */
+/** Announcement of a worker, with the reading of its clock. */
 struct WorkerAnnouncement
 {
   WorkerDescription facts_;
   std::int64_t clockMs_ = 0;
-  /** Rises with each announcement of one life. */
+  /** Increases with each announcement of one incarnation. */
   std::uint64_t sequence_ = 0;
 };
 
 /**
- * Looks after one worker for the entry that leads: carries its orders out,
- * keeps the leases of what runs, and reports what is there. Pure: facts and
- * times in, calls and reports out. Owned by the side's process.
+ * Manages one worker on behalf of the leading entry: executes the orders of the
+ * leader, renews the leases of the runs, and reports the state of the worker.
  *
- * What holds, and why:
- * - Leases are extended only within the authority that the leader's last orders
- *   gave, counted from a reading of this side's own clock. Without a leader
- * they run out, so a new leader can start the work elsewhere.
+ * Performs no I/O and reads no clock: the caller passes in events and times,
+ * and sends the returned calls and reports. Owned by the side's process.
+ *
+ * Invariants:
+ * - Leases are extended only within the authority that the last orders of the
+ *   leader granted, measured on the clock of this side. Without a leader they
+ *   expire, so that a new leader can start the work elsewhere.
  * - A start without an answer is repeated under the same run number, which the
- *   worker takes once. It holds its room until it is answered or stopped.
- * - Each life of the side uses a higher fence, so calls of a life before it
- * that the worker carries out late do nothing once this one was heard.
- * - Nothing is reported before the worker was asked once in this life.
- * - A start that the worker has not taken before its order is void is given
- *   back; its job may have been cancelled meanwhile.
+ *   worker accepts only once. The start keeps its resources reserved until it
+ *   is answered or stopped.
+ * - Each incarnation of the side uses a higher fence. Calls of an earlier
+ *   incarnation that the worker executes late have no effect once the worker
+ *   has received a call of this incarnation.
+ * - Nothing is reported before the worker has answered once in this
+ *   incarnation.
+ * - A start that the worker has not accepted before its order expires is
+ *   refused, because its job may have been cancelled in the meantime.
  */
 class WorkerKeeper
 {
 public:
   struct Settings
   {
-    /** The longest lease that a worker grants. */
+    /** Maximum lease that a worker grants. */
     Millis maxLease_{ 10000 };
-    /** A stop takes at most this; until then the run holds its room, though
-     * the worker may list it neither as running nor as ended. */
+    /** Maximum duration of a stop. Until it has passed, the run keeps its
+     * resources reserved, even if the worker lists it neither as running nor as
+     * ended. */
     Millis stopTimeout_{ 1000 };
-    /** The first fence; later ones rise from it. */
+    /** Initial fence. */
     std::uint64_t fence_ = 1;
   };
 
   WorkerKeeper(const Settings& aSettings, Instant aNow);
 
-  // Facts.
+  // Events.
   void OnAnnounced(const WorkerAnnouncement& aAnnouncement, Instant aNow);
-  /** The worker said that it ends now. */
+  /** Handles the message of a worker that it is about to exit. */
   void OnWorkerLeft(const std::string& aWorkerId, Instant aNow);
   void OnLeaderLink(Instant aNow);
-  /** False: an entry that leads no more; its link must be ended. */
+  /** Returns false if the orders come from a former leader, whose link must be
+   * closed. */
   bool OnOrders(const FleetOrders& aOrders, Instant aNow);
   void OnAnswer(std::uint64_t aCall, const CallAnswer& aAnswer, Instant aNow);
-  /** The host was suspended for so long, by the clock that counts it. */
+  /** Handles a suspension of the host for aGap, as measured by the clock that
+   * includes suspended time. */
   void OnSuspended(Millis aGap);
-  /** A planned stop: leases are taken as long as allowed, no more reports. */
+  /** Starts a planned stop: extends the leases as far as allowed and sends no
+   * more reports. */
   void OnStopping(Instant aNow);
 
-  // Decisions.
+  // Actions.
+  /** Returns the calls to the worker that are due. */
   std::vector<WorkerCall> TakeCalls(Instant aNow);
-  /** A report that is due to the leader. */
+  /** Returns the report to the leader, if one is due. */
   std::optional<FleetReport> TakeReport(Instant aNow);
 
-  /** The last lease extension before a stop has been answered. */
+  /** Returns whether the last lease extension before a stop has completed or is
+   * not needed. */
   bool ReadyToStop() const { return stopHoldDone_; }
   std::uint64_t Epoch() const { return epoch_; }
   Instant LastOrders() const { return lastOrders_; }
   const std::string& WorkerId() const { return facts_.id_; }
   std::size_t RunCount() const { return runs_.size(); }
-  /** Authority over the worker's leases lasts until then. */
+  /** Returns when the authority over the worker's leases ends. */
   Instant AuthorityUntil() const { return authorityUntil_; }
 
 private:
@@ -177,19 +194,21 @@
   {
     Phase phase_ = Phase::Starting;
     StartOrder order_;
-    /** No start call of it goes out from then on. */
+    /** Time from which no start call of this run is sent. */
     Instant startUntil_;
-    /** A start or stop call of it is under way. */
+    /** A start or stop call of this run is in flight. */
     bool calling_ = false;
-    /** A start of it had no answer, and may be carried out late. */
+    /** A start call had no answer, so the worker may execute it late. */
     bool doubted_ = false;
-    /** It is given back unless the worker lists it after its stop. */
+    /** Reason to refuse the start unless the worker lists the run after its
+     * stop. */
     std::optional<StartRefusal> refusal_;
     Instant nextCallAt_;
-    /** The worker answered the last order then. */
+    /** Time at which the worker answered the last order. */
     Instant answeredAt_;
     bool stopAnswered_ = false;
-    /** Since when the worker has listed it nowhere. */
+    /** Time since which the worker lists the run neither as running nor as
+     * ended. */
     std::optional<Instant> missingSince_;
     std::string checkpoint_;
     std::uint32_t percent_ = 0;
@@ -202,7 +221,7 @@
   using RunKey = std::pair<std::string, std::uint32_t>;
   using Runs = std::map<RunKey, LocalRun>;
 
-  /** A call that has no answer yet. */
+  /** Call without an answer so far. */
   struct OpenCall
   {
     enum class Kind : std::uint8_t
@@ -211,9 +230,9 @@
       Stop,
       Pace,
       Hold,
-      /** A hold that asks whether a new life is there. */
+      /** Hold that checks whether a new incarnation of the worker runs. */
       Probe,
-      /** A hold that asks whether anything is there at all. */
+      /** Hold that checks whether any worker listens at the address. */
       Knock,
     };
     Kind kind_ = Kind::Hold;
@@ -221,7 +240,7 @@
     std::string workerId_;
     std::uint32_t pace_ = 0;
     Instant sentAt_;
-    /** The extension of leases before a planned stop. */
+    /** Last lease extension before a planned stop. */
     bool last_ = false;
   };
 
@@ -262,30 +281,31 @@
   void ForgetRuns();
   void CheckLeases(Instant aNow);
   bool HasUnstoredEnds() const;
-  /** How long the next hold may wait for an end. */
+  /** Returns how long the next hold may wait for an end. */
   Millis HoldWait(Instant aNow) const;
 
   Settings settings_;
   std::uint64_t fence_;
   std::uint64_t epoch_ = 0;
   Instant authorityUntil_;
-  /** Leases are renewed until then, unless the worker answers. */
+  /** Time until which leases are renewed without an answer of the worker. */
   Instant renewUntil_;
-  /** The leader wants each figure of the worker until then. */
+  /** End of high-frequency reporting, as requested by the leader. */
   Instant watchUntil_;
   Instant lastOrders_;
   std::uint64_t ordersSeen_ = 0;
   WorkerDescription facts_;
   std::uint64_t sequence_ = 0;
   std::optional<WorkerAnnouncement> candidate_;
-  /** Lives that are over; an announcement of one comes late. */
+  /** Past incarnations of the worker, whose late announcements are ignored. */
   std::set<std::string> pastLives_;
   std::int64_t clockMs_ = 0;
   Instant clockReadAt_;
   Instant lastAnswerAt_;
-  /** Stops that an earlier life of this side ordered are over then. */
+  /** Time by which stops ordered by an earlier incarnation of this side are
+   * complete. */
   Instant settledAt_;
-  /** No lease that was asked for can last beyond this. */
+  /** Latest possible end of all leases that were requested. */
   Instant leasesOverAt_;
   Runs runs_;
   std::map<std::uint64_t, EndFact> ends_;
@@ -297,22 +317,24 @@
   std::size_t openOrders_ = 0;
   Instant nextHoldAt_;
   Instant reportedAt_;
-  /** When the worker last said what runs. */
+  /** Time of the last list of runs from the worker. */
   Instant measuredAt_;
-  /** Times in a row that the worker's port refused before any life was seen. */
+  /** Consecutive refusals of the worker's port before any incarnation was
+   * observed. */
   std::uint32_t refusals_ = 0;
-  /** The worker was asked successfully in this life of both. */
+  /** Whether the runs of the worker are known: it has answered a hold in its
+   * current incarnation and in that of the side, or no worker exists. */
   bool known_ = false;
-  /** The worker's life began before this side's. */
+  /** Whether the worker's incarnation began before that of this side. */
   bool inherited_ = true;
   bool seenLife_ = false;
   bool holding_ = false;
   bool reportDue_ = false;
-  /** Something is to be reported, though not at once. */
+  /** A report is due after kReportSpacing. */
   bool newsWaits_ = false;
   bool linked_ = false;
   bool stopping_ = false;
-  /** The worker said that it ends. */
+  /** The worker has reported that it is about to exit. */
   bool leaving_ = false;
   bool stopHoldSent_ = false;
   bool stopHoldDone_ = false;
