--- a/Tests/Fleet/LeaderLeaseTest.cxx
+++ b/Tests/Fleet/LeaderLeaseTest.cxx
@@ -13,7 +13,7 @@
   return LeaderLease({ aNode, aNode + "-1", aNode + ":1" });
 }
 
-/** The table with its one row. */
+/** Table that holds only the leader row. */
 struct Table
 {
   LeaderRow row_;
@@ -30,7 +30,8 @@
   }
 };
 
-/** Carries out the lease's steps until the time; its table always answers. */
+/** Executes the steps of the lease from aFrom until aTo; the table always
+ * answers. */
 void
 Play(LeaderLease& aLease, Table& aTable, std::int64_t aFrom, std::int64_t aTo)
 {
@@ -64,8 +65,8 @@
   cr_assert_eq(second.Leader().node_, "a");
 }
 
-// The leader is frozen for some seconds. When it wakes it must not order
-// anything, as another entry leads by now.
+// Guards against a leader that is frozen for some seconds and still leads on
+// resume, although another entry has taken over.
 Test(LeaderLease, FrozenLeaderLeadsNoMoreWhenItWakes)
 {
   Table table;
@@ -80,7 +81,7 @@
   cr_assert_not(first.Holds());
 }
 
-// At no time do both lead, whenever the first one freezes.
+// Guards against two concurrent leaders, for a leader that freezes at any time.
 Test(LeaderLease, NeverTwoAtOnce)
 {
   for (std::int64_t freeze = 1500; freeze < 6000; freeze += 130) {
@@ -98,8 +99,8 @@
   }
 }
 
-// The table is away for a while, for everyone. The leader pauses and goes on
-// under the same epoch: nobody else could take over.
+// Guards against a change of epoch after an outage of the table. During the
+// outage no entry can take over, so the leader continues under its epoch.
 Test(LeaderLease, OutageOfTheTableChangesNoLeader)
 {
   Table table;
@@ -117,7 +118,8 @@
   cr_assert_eq(first.Epoch(), 1);
 }
 
-// The takeover's answer is lost, and the write takes effect.
+// Guards against a takeover that is not detected, because its write takes
+// effect and the answer is lost.
 Test(LeaderLease, TakeoverWithoutAnAnswerIsFoundByReading)
 {
   Table table;
@@ -147,8 +149,8 @@
   cr_assert(second.Leads(At(3500)));
 }
 
-// The leader's process is killed and starts again within the lease: nobody
-// else listens on its address, so it need not wait for its own old lease.
+// Guards against a restarted leader that waits for its own old lease. No other
+// process listens at its address, so it can take over at once.
 Test(LeaderLease, RestartedLeaderTakesItsOwnPlace)
 {
   Table table;
@@ -160,8 +162,9 @@
   cr_assert_eq(again.Epoch(), 2);
 }
 
-// The leader alone is cut off from the table. It hands over by word, and from
-// then on orders nothing, unless its own renewal comes first after all.
+// Guards against a leader that alone has lost the table and keeps leading. It
+// yields to an entry that reaches the table and sends no more orders, unless
+// its own renewal is applied first.
 Test(LeaderLease, LeaderWithoutTheTableYieldsToOneThatHasIt)
 {
   Table table;
@@ -178,10 +181,9 @@
   cr_assert_not(first.Holds());
 }
 
-// All machines of a grown fleet start within 0.3 s. The first to reach the
-// table has an eighth of a processor; as the leader it would be seconds behind
-// after a loss of power. It leaves the lease to a larger host, and takes it if
-// there is none.
+// Guards against a leader on a host with an eighth of a processor, which falls
+// seconds behind after a power failure. It reaches the table first when all
+// hosts start within 0.3 s, and must lead only if there is no larger host.
 Test(LeaderLease, SmallHostLeavesAFreeLeaseToALargerOne)
 {
   Table table;
@@ -199,11 +201,9 @@
   cr_assert(only.Leads(At(2000)));
 }
 
-// One booking's task ran on two workers at the same time. The table was silent
-// to the leader, which yielded to the other entry while a renewal of its own
-// was under way. The renewal was written, so the leader went on; the other one
-// still took the lease for yielded and took over as well, until the leader's
-// next renewal failed half a second later.
+// Guards against two leaders for half a second, and one task on two workers: an
+// unresponsive table makes the leader yield while its renewal is in flight. The
+// renewal succeeds, and the other entry must not use the earlier yield.
 Test(LeaderLease, RenewalUnderWayMakesAYieldVoid)
 {
   Table table;
@@ -225,8 +225,8 @@
   cr_assert(first.Leads(At(now + 300)) || second.Leads(At(now + 300)));
 }
 
-// Guards against a leader that is asked again and again to yield, never renews
-// and is never replaced.
+// Guards against a leader that never renews and is never replaced, because
+// repeated yields postpone its renewal.
 Test(LeaderLease, RepeatedYieldsDoNotPutTheRenewalOff)
 {
   Table table;
--- a/Tests/Fleet/MemoryStore.cxx
+++ b/Tests/Fleet/MemoryStore.cxx
@@ -14,7 +14,7 @@
 Failure
 Away()
 {
-  return NotRun(FailureKind::Refused, "The table is away.");
+  return NotRun(FailureKind::Refused, "The table is unavailable.");
 }
 
 void
--- a/Tests/Fleet/MemoryStore.h
+++ b/Tests/Fleet/MemoryStore.h
@@ -10,7 +10,7 @@
 
 namespace cactusrail {
 
-/** The tables of a test: all stores of one process share them. */
+/** Tables of a test, shared by all stores of the process. */
 struct MemoryTables
 {
   static MemoryTables& OfTest();
@@ -18,9 +18,9 @@
   std::map<RowId, Row> rows_;
   std::vector<Row> history_;
   std::uint64_t version_ = 0;
-  /** Calls are refused: surely nothing was done. */
+  /** The table is unavailable: calls are refused and have no effect. */
   bool away_ = false;
-  /** Writes take effect and are not answered. */
+  /** Writes take effect, but their answers are lost. */
   bool losesAnswers_ = false;
 
   Commit Apply(const RowTransaction& aTransaction);
@@ -28,7 +28,7 @@
   RowChanges Changes(const std::string& aTable, std::uint64_t aAfter) const;
 };
 
-/** A RowStore in memory; answers come from the event loop. */
+/** In-memory RowStore that answers from the event loop. */
 class MemoryStore
 {
 public:
--- a/Tests/Fleet/ProcessFleet.cxx
+++ b/Tests/Fleet/ProcessFleet.cxx
@@ -16,7 +16,7 @@
 constexpr std::string_view kQueue = "/queue/";
 constexpr std::string_view kWorker = "/worker/";
 
-/** A loopback address of this process alone: ports need not be searched. */
+/** Returns a loopback address of this process only, so that ports are fixed. */
 std::string
 LoopbackOf(std::size_t aNode)
 {
--- a/Tests/Fleet/ProcessFleet.h
+++ b/Tests/Fleet/ProcessFleet.h
@@ -14,7 +14,7 @@
 
 namespace cactusrail {
 
-/** A worker in this process, for the sides of a test. */
+/** Client of a worker in this process, for the sides of a test. */
 class WorkerClientFake
 {
 public:
@@ -22,7 +22,7 @@
   void Send(const WorkerCall& aCall,
             std::function<void(const CallAnswer&)> aCallback);
 
-  /** The worker at an address; made when it is first named. */
+  /** Returns the worker at an address and creates it on first use. */
   static WorkerFake& At(const std::string& aAddress);
 
 private:
@@ -30,9 +30,9 @@
 };
 
 /**
- * A platform of the test's own: callers say "POST /queue/ID" with the number of
- * tasks as the body, "GET /queue/ID", "DELETE /queue/ID"; workers say
- * "PUT /worker/ID".
+ * Platform of the tests. Callers send "POST /queue/ID" with the number of tasks
+ * as the body, "GET /queue/ID" and "DELETE /queue/ID". Workers announce
+ * themselves with "PUT /worker/ID" and leave with "DELETE /worker/ID".
  */
 struct TestPlatform
 {
@@ -53,7 +53,7 @@
 using TestEntry = FleetEntry<TestPlatform>;
 using TestSide = FleetSide<TestPlatform>;
 
-/** Entries and sides in one process, on loopback addresses of their own. */
+/** Entries and sides in one process, each on its own loopback address. */
 class ProcessFleet
 {
 public:
@@ -61,25 +61,27 @@
                std::size_t aSides,
                double aProcessors = 1);
 
-  /** One more entry, on a host with so many processors. */
+  /** Starts one more entry, on a host with aProcessors processors. */
   void AddEntry(double aProcessors);
-  /** The name of the entry that leads, by the table. */
+  /** Returns the name of the leading entry according to the table. */
   static std::string Leader();
 
-  /** Lets the event loop turn until it holds; false after a minute. */
+  /** Runs the event loop until aHolds() returns true; returns false after a
+   * minute. */
   bool Wait(const std::function<bool()>& aHolds);
-  /** The status and body of a caller's request. */
+  /** Sends a caller's request and returns its status and body. */
   HttpReply Ask(std::size_t aEntry,
                 const std::string& aMethod,
                 const std::string& aPath,
                 const std::string& aBody = {});
-  /** Stops an entry as SIGTERM does, and waits until it has stopped. */
+  /** Stops an entry as SIGTERM does and waits until it has stopped. */
   void StopEntry(std::size_t aEntry);
-  /** The same for a side. */
+  /** Stops a side and waits until it has stopped. */
   void StopSide(std::size_t aSide);
-  /** Starts a stopped side again, as its host does when it has power again. */
+  /** Restarts a stopped side, as its host does after a power failure. */
   void StartSide(std::size_t aSide);
-  /** The side's worker says that it ends, and does. */
+  /** Makes the side's worker leave and exit, and waits until the side has
+   * handled that. */
   void LeaveForGood(std::size_t aSide);
   WorkerFake& Worker(std::size_t aSide);
   std::string SideName(std::size_t aSide) const;
--- a/Tests/Fleet/ProcessFleetTest.cxx
+++ b/Tests/Fleet/ProcessFleetTest.cxx
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Each test is a process of its own, so it has its own application. */
+/** Qt application; each test runs in a separate process and creates one. */
 struct Application
 {
   int argc_ = 1;
@@ -17,7 +17,7 @@
   QCoreApplication application_{ argc_, argv_ };
 };
 
-/** Waits until a first job has gone through: the fleet is at work. */
+/** Waits until the fleet has completed a first job. */
 void
 WarmUp(ProcessFleet& aFleet)
 {
@@ -56,8 +56,8 @@
   cr_assert_eq(StartsOf(fleet, 2, "job1.0.0.0"), 1);
 }
 
-// An entry is stopped while its fleet works. Callers of the others notice
-// nothing, and no task runs again.
+// Guards against a task that runs again or a job that does not complete,
+// because entries are stopped while the fleet works.
 Test(ProcessFleet, WorkGoesOnWhenEntriesStopInTurn)
 {
   const Application application;
@@ -76,9 +76,9 @@
   }
 }
 
-// The table keeps the row of a side's former life back and writes it late. The
-// leader linked anew and sent orders before the side's first report; they were
-// taken for lost, and their tasks ran twice at the same time.
+// Guards against tasks that run twice concurrently: the table applies the row
+// of a side's earlier incarnation late, and the leader reopens the link. Orders
+// sent before the side's first report would be treated as lost.
 Test(ProcessFleet, LateRowOfAFormerLifeStartsNothingTwice)
 {
   const Application application;
@@ -101,8 +101,8 @@
   }
 }
 
-// The table is away. A caller must hear at once that its job was not taken, and
-// the job must never run.
+// Guards against a job that runs although it was refused. While the table is
+// unavailable, callers must be told at once that the job was not accepted.
 Test(ProcessFleet, RefusedJobNeverRuns)
 {
   const Application application;
@@ -118,8 +118,8 @@
   cr_assert_eq(StartsOf(fleet, 1, "refused.0.0.0"), 0);
 }
 
-// Writes take effect and their answers are lost. The job is in the table, so
-// the caller must not be told that it was not taken.
+// Guards against a stored job that is reported as not accepted, because its
+// write takes effect and the answer is lost.
 Test(ProcessFleet, JobInDoubtIsNeverCalledRefused)
 {
   const Application application;
@@ -133,9 +133,9 @@
   cr_assert_eq(StartsOf(fleet, 1, "doubt.0.0.0"), 1);
 }
 
-// A host leaves for good: its worker says farewell, its side is stopped. Its
-// row stayed in the table, and the next leader held all older work back until
-// that side could hold no lease any more.
+// Guards against the row of a side whose worker has left and which was stopped.
+// If the row stays, the next leader defers all older work until that side can
+// have no lease any more.
 Test(ProcessFleet, LeavingSideTakesItsRowAlong)
 {
   const Application application;
@@ -148,10 +148,11 @@
   cr_assert(rows.contains(MemberRowId(fleet.SideName(1))));
 }
 
-// The leader's host is lost, and of the entries that look at its lease every
-// 0.7 s a small one happens to look first: it leads. With an eighth of a
-// processor it is seconds behind for the rest of the day, so callers wait and
-// watchers stay away. It hands over as soon as a larger entry is there.
+// Guards against a leader on a host with an eighth of a processor, which falls
+// seconds behind, so that callers wait and watchers are not running. It
+// acquires the lease of a lost leader if it is the first to read the lease,
+// which each entry does every 0.7 s, and must hand over once a larger entry is
+// available.
 Test(ProcessFleet, SmallHostHandsTheLeadToALargerOne)
 {
   const Application application;
@@ -174,10 +175,10 @@
   }
 }
 
-// A host whose worker has left for good comes back with the power and is gone a
-// moment later. Its side had written its row as soon as it started, so the
-// leader waited for it, and held all older work back until it could hold no
-// lease any more: `started` at 35.3 s, old work from 45 s on.
+// Guards against a leader that waits for a side without a worker. The host
+// restarts after a power failure and is lost again. If its side registers on
+// start, old work is deferred until the side can have no lease any more: it was
+// `started` at 35.3 s, and old work ran from 45 s on.
 Test(ProcessFleet, SideThatHasNoWorkerIsNotWaitedFor)
 {
   const Application application;
@@ -190,7 +191,7 @@
   cr_assert_not(rows.contains(row));
   const std::size_t asked = fleet.Worker(0).calls_;
   fleet.StartSide(0);
-  // It has found out that nothing is there.
+  // The side has detected that no worker is running.
   constexpr std::size_t kKnocks = 3;
   cr_assert(fleet.Wait(
     [&fleet, asked] { return fleet.Worker(0).calls_ >= asked + kKnocks; }));
--- a/Tests/Fleet/WorkPartsTest.cxx
+++ b/Tests/Fleet/WorkPartsTest.cxx
@@ -10,20 +10,20 @@
 
 namespace {
 
-/** Transactions that a part carries out in a second while the table takes 43
- * times as long as usual: one after another, 8 ms each. */
+/** Transactions per second of a part while the table is 43 times slower than
+ * usual. A part executes them sequentially, 8 ms each at the usual speed. */
 constexpr double kSlowPartRate = 1000.0 / (43 * 8);
 
-/** A part refuses more once the work of a second waits there. */
+/** Backlog, in seconds of work, at which a part refuses transactions. */
 constexpr double kMostWaitingSeconds = 1;
 
-/** Jobs that callers of a large fleet hand in at the peak. */
+/** Peak rate at which callers of a large fleet submit jobs. */
 constexpr int kJobsASecond = 40;
 
 }
 
-// Pattern: entries store jobs one by one in a slow table; with few parts each
-// of them refused two jobs of three.
+// Guards against parts that refuse jobs in a slow table. Entries store each job
+// separately, and with few parts each part refused two jobs of three.
 Test(WorkParts, NoPartGetsMoreJobsThanASlowTableTakes)
 {
   constexpr int kSeconds = 10;
--- a/Tests/Fleet/WorkerKeeperTest.cxx
+++ b/Tests/Fleet/WorkerKeeperTest.cxx
@@ -54,7 +54,7 @@
   return answer;
 }
 
-/** A keeper whose worker has answered, with a leader. */
+/** Keeper with a linked leader and a worker that has answered. */
 struct Bench
 {
   Bench()
@@ -67,7 +67,7 @@
     keeper_.OnOrders(Orders("w1", 1, At(10700)), At(10700));
   }
 
-  /** Takes the calls due, answers the hold among them; the others come back. */
+  /** Takes the calls that are due and answers the holds; returns all calls. */
   std::vector<WorkerCall> AnswerHold(std::int64_t aNow,
                                      const std::vector<RunFact>& aRuns)
   {
@@ -94,8 +94,8 @@
     }
   }
 
-  /** Orders a start at 10.8 s whose call has no answer; its order runs out, and
-   * the worker answers a stop of it at 19.31 s. */
+  /** Orders a start at 10.8 s whose call has no answer. The order expires, and
+   * the worker answers a stop of the run at 19.31 s. */
   void StopAStartInDoubt()
   {
     Order(2, 10800);
@@ -108,12 +108,12 @@
       stops[0].head_.id_, Answer(CallOutcome::Accepted, 9800), At(19310));
   }
 
-  /** Answers holds that list nothing until a stop must be over; returns all
-   * that was refused meanwhile. */
+  /** Answers holds with empty lists until a stop must be complete; returns the
+   * runs that were reported as refused. */
   std::vector<RefusedRun> HoldUntilStopsAreOver(std::int64_t aFrom)
   {
     std::vector<RefusedRun> refused;
-    // A stop takes 500 ms at most, and its answer some more.
+    // A stop takes up to 500 ms, and its answer adds some latency.
     for (std::int64_t now = aFrom; now <= aFrom + 800; now += 50) {
       AnswerHold(now, {});
       if (const auto report = keeper_.TakeReport(At(now))) {
@@ -129,15 +129,15 @@
 
 }
 
-// Its leader is gone. The side must not hold work for ever: a new leader counts
-// on it being over.
+// Guards against a side that renews leases without a leader. A new leader
+// relies on the expiry of these leases before it starts the work elsewhere.
 Test(WorkerKeeper, LeasesNeverReachBeyondTheLeadersAuthority)
 {
   Bench bench;
   for (std::int64_t now = 10710; now < 19500; now += 100) {
     for (const HoldCall& hold : Only<HoldCall>(bench.AnswerHold(now, {}))) {
       if (hold.leaseUntilMs_.has_value()) {
-        // The worker's clock reads 9500 less; it may be 2 % slow.
+        // The worker's clock is 9500 ms behind and may be 2 % slow.
         const double real =
           static_cast<double>(*hold.leaseUntilMs_ - (now - 9500)) / 0.98;
         cr_assert_leq(static_cast<double>(now) + real, 10700 + 8000);
@@ -146,9 +146,9 @@
   }
 }
 
-// The leader wants each figure while tasks serve beside backfill: the side asks
-// four times a second and reports each answer. Once the word has run out it
-// reports once a second again, as a leader has 560 sides to listen to.
+// Guards against high-frequency reporting that is missing or does not end. A
+// side reports each answer, four per second, while tasks serve beside backfill,
+// and then once per second again, as a leader receives reports of 560 sides.
 Test(WorkerKeeper, CloseWatchReportsEachFigureUntilItsEnd)
 {
   Bench bench;
@@ -170,10 +170,9 @@
   cr_assert_leq(wide, 2);
 }
 
-// A worker is lost for good and its side lives on, linked to the leader. The
-// side went on asking it to extend its leases; each of these calls might still
-// be carried out, so what ran there was never given up, and a tracking feed
-// stood still for the rest of the day.
+// Guards against runs that are never abandoned, which stopped a tracking feed
+// for the rest of the day. The worker is gone for good, and its side keeps
+// sending lease extensions that might still be executed.
 Test(WorkerKeeper, WorkerThatIsGoneForGoodIsGivenUp)
 {
   Bench bench;
@@ -190,14 +189,14 @@
     if (const auto report = bench.keeper_.TakeReport(At(now))) {
       held = report->runs_.size();
     }
-    // Not before its lease is surely over.
+    // The run must not be abandoned before its lease has expired.
     cr_assert(held == 1 || now > 10800 + 4500);
   }
   cr_assert_eq(held, 0);
 }
 
-// The host is suspended for three seconds. The worker's clock stood still; a
-// lease counted on from its last reading would end three seconds too late.
+// Guards against leases that end three seconds too late after a suspension of
+// the host for three seconds, during which the worker's clock stops.
 Test(WorkerKeeper, SuspensionDoesNotStretchLeases)
 {
   Bench bench;
@@ -208,12 +207,13 @@
   bench.keeper_.OnOrders(orders, At(13900));
   const auto starts = Only<StartCall>(bench.keeper_.TakeCalls(At(13900)));
   cr_assert_eq(starts.size(), 1);
-  // The worker's clock is 9500 less, and 3000 less again.
+  // The worker's clock is 9500 ms behind, and another 3000 ms since then.
   cr_assert_leq(starts[0].leaseUntilMs_, 13900 - 9500 - 3000 + 4500);
 }
 
-// A start has no answer. It may be carried out seconds later, so the same run
-// is ordered again until it is known; nothing else may take its room.
+// Guards against resources that are assigned twice after a start without an
+// answer. The worker may execute it seconds later, so the same run is ordered
+// again until its outcome is known.
 Test(WorkerKeeper, StartWithoutAnAnswerIsRepeatedUnderTheSameRun)
 {
   Bench bench;
@@ -230,9 +230,9 @@
   cr_assert_eq(starts[0].order_.run_, 1);
 }
 
-// A start had no answer, the next try is refused. The first one may still be
-// carried out: only a stop makes sure that it never is, and only what the
-// worker lists after the stop says that it was not.
+// Guards against a refusal that is reported too early. The first start call has
+// no answer and may still be executed after the second is refused. Only a stop
+// prevents that, and only the lists after the stop show that it did not run.
 Test(WorkerKeeper, RefusalAfterADoubtIsReportedOnlyAfterAStop)
 {
   Bench bench;
@@ -254,10 +254,10 @@
   cr_assert(report->runs_.empty());
 }
 
-// A call to start a run had no answer and was carried out late; the run ended
-// as done. Its order ran out meanwhile, and the worker took a stop of it, as it
-// takes any. The side told its leader that it had never started, and the task
-// ran a second time (17.7 s after an end at 14.1 s that had been stored).
+// Guards against a task that runs a second time (17.7 s after an end at 14.1 s
+// that had been stored): a start call without an answer is executed late, its
+// order expires, and the worker accepts a stop of the run, as it accepts any
+// stop. The side must not report that the run did not start.
 Test(WorkerKeeper, RunThatALateCallStartedIsNotGivenBack)
 {
   for (const bool stillRuns : { false, true }) {
@@ -282,14 +282,14 @@
         ends += report->ends_.size();
       }
     }
-    cr_assert_eq(refused, 0, "It was said not to have started.");
+    cr_assert_eq(refused, 0, "The run was reported not to have started.");
     cr_assert_eq(ends, 1);
   }
 }
 
-// The same, and what the worker lists doesn't show the run: it was listed
-// before the stop was answered, or all at once is stopping. A stop may take
-// half a second; only then was it surely never there.
+// Guards against a start that is refused while its run may still be stopping.
+// The worker no longer lists such a run. A stop may take half a second, and
+// only after that an unlisted run is known not to have started.
 Test(WorkerKeeper, StoppedStartIsGivenBackOnceAStopMustBeOver)
 {
   Bench bench;
@@ -298,7 +298,7 @@
     bench.AnswerHold(now, {});
     const auto report = bench.keeper_.TakeReport(At(now));
     cr_assert(!report.has_value() || report->refused_.empty(),
-              "given back after %d ms",
+              "refused after %d ms",
               static_cast<int>(now - 19310));
   }
   cr_assert_eq(bench.HoldUntilStopsAreOver(19800).size(), 1);
@@ -316,8 +316,9 @@
   cr_assert_eq(report->refused_[0].why_, StartRefusal::NoRoom);
 }
 
-// An announcement of a worker that crashed was held up and comes after that of
-// its next life. Taken for a new life, it would give up all that runs.
+// Guards against runs that are abandoned, because the announcement of a crashed
+// worker is delayed, arrives after that of the next incarnation and is treated
+// as a new incarnation.
 Test(WorkerKeeper, LateAnnouncementOfAFormerLifeChangesNothing)
 {
   Bench bench;
@@ -332,12 +333,12 @@
       bench.keeper_.OnAnswer(hold.head_.id_, wrong, At(11600));
     }
   }
-  cr_assert(probed, "the worker itself is asked");
+  cr_assert(probed, "the worker itself must be asked");
   cr_assert_eq(bench.keeper_.WorkerId(), "w1");
 }
 
-// A worker says farewell and goes on until that is answered: its runs end with
-// its process, not with its word.
+// Guards against runs that are dropped too early. A worker that reports that it
+// leaves runs on until it has an answer; its runs end with its process.
 Test(WorkerKeeper, LeavingWorkerKeepsItsRunsUntilItsPortRefuses)
 {
   Bench bench;
@@ -358,7 +359,8 @@
   cr_assert(bench.keeper_.WorkerId().empty());
 }
 
-// A frozen leader wakes and sends what it had decided before.
+// Guards against orders of a former leader that was frozen and sends earlier
+// decisions on resume.
 Test(WorkerKeeper, OrdersOfAFormerLeaderAreRefused)
 {
   Bench bench;
@@ -368,8 +370,8 @@
   cr_assert_not(bench.keeper_.OnOrders(Orders("w1", 9, At(10900)), At(10900)));
 }
 
-// The clock was set back between two lives of the side, so the new life's fence
-// is too low. It must rise, or the side would never be heard again.
+// Guards against a side whose calls are refused permanently, because its clock
+// was set back between two incarnations and the new fence is too low.
 Test(WorkerKeeper, FenceRisesWhenItIsRefused)
 {
   WorkerKeeper keeper({ Millis(10000), Millis(500), 7 }, At(10000));
@@ -390,8 +392,8 @@
   cr_assert_not(keeper.TakeReport(At(12000)).has_value());
 }
 
-// Starts wait behind orders that their worker leaves unanswered, and meanwhile
-// it says that it leaves. Started on it seconds later, they would end with it.
+// Guards against starts on a leaving worker, which would end with it seconds
+// later. The starts are queued behind orders that the worker does not answer.
 Test(WorkerKeeper, LeavingWorkerGetsNoStartThatWaited)
 {
   Bench bench;
@@ -404,7 +406,7 @@
   const std::vector<WorkerCall> calls = bench.AnswerHold(11200, {});
   cr_assert(Only<StartCall>(calls).empty());
   const auto stops = Only<StopCall>(calls);
-  cr_assert_eq(stops.size(), 1, "the first try may be carried out late");
+  cr_assert_eq(stops.size(), 1, "the first start call may be executed late");
   bench.keeper_.OnAnswer(
     stops[0].head_.id_, Answer(CallOutcome::Accepted, 1800), At(11210));
   cr_assert_eq(bench.HoldUntilStopsAreOver(11210).size(), 1);
@@ -421,10 +423,9 @@
   cr_assert_eq(bench.keeper_.TakeReport(At(10800))->refused_.size(), 1);
 }
 
-// A worker's port closes each call at once without an answer, as an unhealthy
-// one does. The side tried the start again the moment its answer failed to
-// come: 200 connections a second for each task, seen in its log every 3 ms, and
-// no processor time left for anything else on its host.
+// Guards against immediate retries of a start to an unhealthy worker, whose
+// port closes each call without an answer: 200 connections per second for each
+// task, logged every 3 ms, left no processor time for other work on the host.
 Test(WorkerKeeper, StartWithoutAnAnswerIsNotRepeatedAtOnce)
 {
   Bench bench;
