--- a/Source/Process/FleetEntry.h
+++ b/Source/Process/FleetEntry.h
@@ -126,26 +126,27 @@
   static constexpr Millis kPeerStoreTimeout{ 1000 };
   /** Time without an answer after which the table counts as unresponsive. The
    * table is called every 0.7 s, and a call times out after 1 s. */
-  static constexpr Millis kTableSilent{ 2000 };
+  static constexpr Millis kTableAnswerTimeout{ 2000 };
   /** Part of a caller's timeout that is reserved for sending the answer. */
   static constexpr Millis kAnswerMargin{ 250 };
   /** Timeout of a write by the leader, including its retries. */
   static constexpr Millis kStoreTimeout{ 800 };
   /** Interval between retries of a write that may already be stored. */
-  static constexpr Millis kDoubtRetry{ 100 };
+  static constexpr Millis kUnknownOutcomeRetry{ 100 };
 
   using Answer = std::function<void(const CallerReply&)>;
 
   explicit FleetEntry(const FleetEntrySettings& aSettings)
     : settings_(aSettings)
-    , life_(aSettings.fleet_.name_ + "-" + std::to_string(ReadWallClock()))
+    , incarnation_(aSettings.fleet_.name_ + "-" +
+                   std::to_string(ReadWallClock()))
     , store_(aSettings.fleet_.store_)
     , intake_(store_)
     , stored_(store_)
-    , leader_(aSettings.fleet_.name_, aSettings.processors_)
+    , leaderLink_(aSettings.fleet_.name_, aSettings.processors_)
     , lease_(store_,
              { aSettings.fleet_.name_,
-               life_,
+               incarnation_,
                aSettings.fleet_.links_.Text(),
                aSettings.processors_ },
              [this] { OnLeaseChanged(); })
@@ -181,7 +182,7 @@
     }
     readiness_ = std::move(std::get<std::unique_ptr<HttpFront>>(readiness));
     connect(
-      &leader_, &LeaderLink::LeaderYields, this, [this](quint64 aVersion) {
+      &leaderLink_, &LeaderLink::LeaderYields, this, [this](quint64 aVersion) {
         LogChange("leader-yields", { { "version", std::to_string(aVersion) } });
         lease_.OnYield(aVersion);
       });
@@ -236,41 +237,46 @@
 
   // Leadership.
 
-  bool IsLeading() const { return lead_ != nullptr && lead_->Loaded(); }
+  bool IsLeading() const
+  {
+    return leadership_ != nullptr && leadership_->Loaded();
+  }
 
   void OnLeaseChanged()
   {
     const LeaderLease& lease = lease_.Lease();
-    if (!lease.Holds() && lead_ != nullptr) {
-      EndLead();
+    if (!lease.Holds() && leadership_ != nullptr) {
+      EndLeadership();
     }
-    if (lead_ != nullptr && leadEpoch_ != lease.Epoch()) {
-      EndLead();
+    if (leadership_ != nullptr && leadershipEpoch_ != lease.Epoch()) {
+      EndLeadership();
     }
-    if (lease.Holds() && lead_ == nullptr && !stopping_ &&
-        lease.Leads(ReadMonotonicClock())) {
-      leadEpoch_ = lease.Epoch();
-      lead_ = std::make_unique<FleetLead<Store>>(
+    if (lease.Holds() && leadership_ == nullptr && !stopping_ &&
+        lease.IsLeader(ReadMonotonicClock())) {
+      leadershipEpoch_ = lease.Epoch();
+      leadership_ = std::make_unique<FleetLead<Store>>(
         store_, lease, settings_.bounds_, settings_.fleet_.name_, [this] {
-          EndLead();
+          EndLeadership();
         });
-      lead_->Start();
+      leadership_->Start();
     }
     const LeaderRecord& leader = lease.Leader();
-    const bool other =
-      !leader.node_.empty() && leader.life_ != life_ && listener_ != nullptr;
-    leader_.SetLeader(other ? leader.address_ : std::string(),
-                      other ? leader.life_ : std::string());
+    const bool other = !leader.node_.empty() &&
+                       leader.incarnation_ != incarnation_ &&
+                       listener_ != nullptr;
+    leaderLink_.SetLeader(other ? leader.address_ : std::string(),
+                          other ? leader.incarnation_ : std::string());
   }
 
-  void EndLead()
+  void EndLeadership()
   {
-    if (lead_ == nullptr) {
+    if (leadership_ == nullptr) {
       return;
     }
-    LogChange("leading-ended", { { "epoch", std::to_string(leadEpoch_) } });
+    LogChange("leading-ended",
+              { { "epoch", std::to_string(leadershipEpoch_) } });
     // Deletes the leader later, because this may run in one of its callbacks.
-    std::shared_ptr<FleetLead<Store>> ended(std::move(lead_));
+    std::shared_ptr<FleetLead<Store>> ended(std::move(leadership_));
     QTimer::singleShot(0, this, [ended] {});
   }
 
@@ -301,7 +307,7 @@
   void OnPeerHello(SideLink* aLink, const FleetHelloMessage& aHello)
   {
     const double processors = aHello.milliProcessors_ / 1000.0;
-    if (lead_ != nullptr && lease_.Lease().HandsOverTo(processors)) {
+    if (leadership_ != nullptr && lease_.Lease().ShouldYieldTo(processors)) {
       YieldTo(aLink,
               "the other entry runs on a host with more processors: " +
                 aHello.node_);
@@ -310,9 +316,9 @@
 
   void YieldTo(SideLink* aLink, std::string aWhy)
   {
-    if (lease_.Lease().Leads(ReadMonotonicClock())) {
+    if (lease_.Lease().IsLeader(ReadMonotonicClock())) {
       LogChange("yielding",
-                { { "epoch", std::to_string(leadEpoch_) },
+                { { "epoch", std::to_string(leadershipEpoch_) },
                   { "why", std::move(aWhy) } });
       lease_.Yield();
     }
@@ -325,7 +331,7 @@
     const std::uint64_t id = aAsk.id_;
     const bool reachesTable = aAsk.question_ == FleetQuestion::JobStored ||
                               aAsk.question_ == FleetQuestion::CancelStored;
-    if (reachesTable && lead_ != nullptr && TableIsSilent()) {
+    if (reachesTable && leadership_ != nullptr && TableIsUnresponsive()) {
       YieldTo(aLink,
               "the requesting entry has written to the table, which is "
               "unresponsive to this leader");
@@ -350,11 +356,11 @@
   {
     switch (aAsk.question_) {
       case FleetQuestion::JobStored:
-        aAnswer(NoteJob(aAsk));
+        aAnswer(HandleJobStored(aAsk));
         return;
       case FleetQuestion::CancelStored:
-        if (lead_ != nullptr) {
-          lead_->OnCancelStored(aAsk.subject_);
+        if (leadership_ != nullptr) {
+          leadership_->OnCancelStored(aAsk.subject_);
         }
         aAnswer(Outcome(FleetOutcome::Ok));
         return;
@@ -362,9 +368,10 @@
         aAnswer(StateAnswer(aAsk.subject_));
         return;
       case FleetQuestion::Waiting:
-        aAnswer(IsLeading() ? Outcome(FleetOutcome::Ok,
-                                      lead_->Scheduler().Waiting(aAsk.subject_))
-                            : Outcome(FleetOutcome::NotLeading));
+        aAnswer(IsLeading()
+                  ? Outcome(FleetOutcome::Ok,
+                            leadership_->Scheduler().Waiting(aAsk.subject_))
+                  : Outcome(FleetOutcome::NotLeading));
         return;
       case FleetQuestion::StoreJob:
       case FleetQuestion::StoreCancel:
@@ -373,14 +380,14 @@
     }
   }
 
-  FleetAnswerMessage NoteJob(const FleetAskMessage& aAsk)
+  FleetAnswerMessage HandleJobStored(const FleetAskMessage& aAsk)
   {
     const Result<JobDescription> spec =
       DecodeRecord<JobDescription>(aAsk.record_);
-    if (lead_ == nullptr || !Succeeded(spec)) {
+    if (leadership_ == nullptr || !Succeeded(spec)) {
       return Outcome(FleetOutcome::NotLeading);
     }
-    lead_->OnJobStored(std::get<JobDescription>(spec));
+    leadership_->OnJobStored(std::get<JobDescription>(spec));
     return Outcome(FleetOutcome::Ok);
   }
 
@@ -389,7 +396,8 @@
     if (!IsLeading()) {
       return Outcome(FleetOutcome::NotLeading);
     }
-    const std::optional<JobState> state = lead_->Scheduler().StateOf(aJob);
+    const std::optional<JobState> state =
+      leadership_->Scheduler().StateOf(aJob);
     return state.has_value()
              ? Outcome(FleetOutcome::Ok, static_cast<std::uint64_t>(*state))
              : Outcome(FleetOutcome::Unknown);
@@ -401,11 +409,11 @@
     const Instant deadline = ReadMonotonicClock() + kPeerStoreTimeout;
     const auto answer = [this, aAsk, aAnswer](IntakeOutcome aOutcome) {
       if (aOutcome == IntakeOutcome::Stored) {
-        FleetAskMessage note = aAsk;
-        note.question_ = aAsk.question_ == FleetQuestion::StoreJob
-                           ? FleetQuestion::JobStored
-                           : FleetQuestion::CancelStored;
-        AnswerAsk(note, [](const FleetAnswerMessage&) {});
+        FleetAskMessage notification = aAsk;
+        notification.question_ = aAsk.question_ == FleetQuestion::StoreJob
+                                   ? FleetQuestion::JobStored
+                                   : FleetQuestion::CancelStored;
+        AnswerAsk(notification, [](const FleetAnswerMessage&) {});
       }
       aAnswer(Outcome(aOutcome == IntakeOutcome::Stored ? FleetOutcome::Ok
                       : aOutcome == IntakeOutcome::NotStored
@@ -437,47 +445,48 @@
     ask.question_ = aQuestion;
     ask.subject_ = aSubject;
     ask.record_ = std::move(aRecord);
-    if (lead_ != nullptr) {
+    if (leadership_ != nullptr) {
       AnswerAsk(ask, [aCallback](const FleetAnswerMessage& aAnswer) {
         aCallback(aAnswer);
       });
       return;
     }
-    leader_.Ask(std::move(ask), aTimeout, std::move(aCallback));
+    leaderLink_.Ask(std::move(ask), aTimeout, std::move(aCallback));
   }
 
-  void TellLeader(FleetQuestion aQuestion,
-                  const std::string& aSubject,
-                  std::string aRecord)
+  void NotifyLeader(FleetQuestion aQuestion,
+                    const std::string& aSubject,
+                    std::string aRecord)
   {
     FleetAskMessage ask;
     ask.question_ = aQuestion;
     ask.subject_ = aSubject;
     ask.record_ = std::move(aRecord);
-    if (lead_ != nullptr) {
+    if (leadership_ != nullptr) {
       AnswerAsk(ask, [](const FleetAnswerMessage&) {});
       return;
     }
-    leader_.Tell(std::move(ask));
+    leaderLink_.Notify(std::move(ask));
   }
 
   // Callers.
 
-  /** Returns whether the table has not answered within kTableSilent. */
-  bool TableIsSilent() const
+  /** Returns whether the table has not answered within kTableAnswerTimeout. */
+  bool TableIsUnresponsive() const
   {
     Instant answered = std::max(lease_.AnsweredAt(), intake_.AnsweredAt());
-    if (lead_ != nullptr) {
-      answered = std::max(answered, lead_->TableAnsweredAt());
+    if (leadership_ != nullptr) {
+      answered = std::max(answered, leadership_->TableAnsweredAt());
     }
-    return ReadMonotonicClock() - answered > kTableSilent;
+    return ReadMonotonicClock() - answered > kTableAnswerTimeout;
   }
 
   /** Returns whether neither the table nor another leader is reachable, so that
    * no job can be accepted. */
   bool IsCutOff() const
   {
-    return TableIsSilent() && (lead_ != nullptr || !leader_.Usable());
+    return TableIsUnresponsive() &&
+           (leadership_ != nullptr || !leaderLink_.Usable());
   }
 
   bool IsReady() const
@@ -508,10 +517,10 @@
     const std::string job = JobOf(call);
     const Answer answer =
       [this, aExchange, arrived, kind, job](const CallerReply& aReply) {
-        const Micros taken = ReadMonotonicClock() - arrived;
+        const Micros elapsed = ReadMonotonicClock() - arrived;
         Metrics::OfProcess().RequestEnded(
-          "callers", kind, VerdictOf(aReply.outcome_), taken);
-        LogAnswer(job, kind, aReply, taken);
+          "callers", kind, VerdictOf(aReply.outcome_), elapsed);
+        LogAnswer(job, kind, aReply, elapsed);
         aExchange.Answer(Platform::EncodeReply(aReply));
       };
     std::visit([&](const auto& aWhat) { Serve(aWhat, call.deadline_, answer); },
@@ -542,7 +551,7 @@
   void LogAnswer(const std::string& aJob,
                  const char* aKind,
                  const CallerReply& aReply,
-                 Micros aTaken) const
+                 Micros aElapsed) const
   {
     if (aJob.empty()) {
       return;
@@ -557,7 +566,7 @@
         { "asked", aKind },
         { "verdict", std::string(VerdictText(VerdictOf(aReply.outcome_))) },
         { "why", aReply.why_ },
-        { "tookMs", std::to_string(aTaken.count() / 1000) },
+        { "tookMs", std::to_string(aElapsed.count() / 1000) },
         { "tableAnsweredMsAgo", std::to_string(age.count()) },
         { "leader", lease_.Lease().Leader().node_ } });
   }
@@ -581,11 +590,11 @@
   {
     const JobDescription spec = aCall.spec_;
     const auto viaLeader = [this, spec, aDeadline, aAnswer] {
-      StoreByLeader(FleetQuestion::StoreJob,
-                    spec.id_,
-                    EncodeRecord(spec),
-                    aDeadline,
-                    aAnswer);
+      StoreViaLeader(FleetQuestion::StoreJob,
+                     spec.id_,
+                     EncodeRecord(spec),
+                     aDeadline,
+                     aAnswer);
     };
     if (IsCutOff()) {
       // No write was attempted, so the job is not stored and the caller can
@@ -597,7 +606,7 @@
                       "retry at another entry."));
       return;
     }
-    if (intake_.InTrouble() && lead_ == nullptr && leader_.Usable()) {
+    if (intake_.InTrouble() && leadership_ == nullptr && leaderLink_.Usable()) {
       viaLeader();
       return;
     }
@@ -606,13 +615,13 @@
       aDeadline - kAnswerMargin,
       [this, spec, aAnswer, viaLeader](IntakeOutcome aOutcome) {
         if (aOutcome == IntakeOutcome::Stored) {
-          TellLeader(FleetQuestion::JobStored, spec.id_, EncodeRecord(spec));
+          NotifyLeader(FleetQuestion::JobStored, spec.id_, EncodeRecord(spec));
           aAnswer(ReplyOf(CallerOutcome::Stored));
         } else if (aOutcome == IntakeOutcome::InDoubt) {
           aAnswer(ReplyOf(CallerOutcome::InDoubt,
                           "The table service did not answer in time; query the "
                           "job's state."));
-        } else if (lead_ == nullptr && leader_.Usable()) {
+        } else if (leadership_ == nullptr && leaderLink_.Usable()) {
           viaLeader();
         } else {
           aAnswer(ReplyTryLater(
@@ -621,62 +630,62 @@
       });
   }
 
-  void StoreByLeader(FleetQuestion aQuestion,
-                     const std::string& aJob,
-                     std::string aRecord,
-                     Instant aDeadline,
-                     const Answer& aAnswer)
+  void StoreViaLeader(FleetQuestion aQuestion,
+                      const std::string& aJob,
+                      std::string aRecord,
+                      Instant aDeadline,
+                      const Answer& aAnswer)
   {
     const Instant now = ReadMonotonicClock();
     const Millis left =
       std::chrono::duration_cast<Millis>(aDeadline - kAnswerMargin - now);
     const std::string record = aRecord;
-    AskLeader(aQuestion,
-              aJob,
-              std::move(aRecord),
-              std::clamp(left, kAskTimeout, kStoreTimeout),
-              [this, aQuestion, aJob, record, aDeadline, aAnswer](
-                const std::optional<FleetAnswerMessage>& aReply) {
-                if (!aReply.has_value() ||
-                    aReply->outcome_ == FleetOutcome::InDoubt) {
-                  // The outcome is unknown; a repeat of the same write resolves
-                  // it.
-                  StoreInDoubt(aQuestion, aJob, record, aDeadline, aAnswer);
-                } else if (aReply->outcome_ == FleetOutcome::Ok) {
-                  aAnswer(ReplyOf(CallerOutcome::Stored));
-                } else {
-                  aAnswer(ReplyTryLater(
-                    "The table service accepts no writes now; retry later."));
-                }
-              });
+    AskLeader(
+      aQuestion,
+      aJob,
+      std::move(aRecord),
+      std::clamp(left, kAskTimeout, kStoreTimeout),
+      [this, aQuestion, aJob, record, aDeadline, aAnswer](
+        const std::optional<FleetAnswerMessage>& aReply) {
+        if (!aReply.has_value() || aReply->outcome_ == FleetOutcome::InDoubt) {
+          // The outcome is unknown; repeating the write resolves it.
+          RetryUnknownStore(aQuestion, aJob, record, aDeadline, aAnswer);
+        } else if (aReply->outcome_ == FleetOutcome::Ok) {
+          aAnswer(ReplyOf(CallerOutcome::Stored));
+        } else {
+          aAnswer(ReplyTryLater(
+            "The table service accepts no writes now; retry later."));
+        }
+      });
   }
 
   /** Repeats a write that may already be stored. Never answers that it is not
    * stored. */
-  void StoreInDoubt(FleetQuestion aQuestion,
-                    const std::string& aJob,
-                    const std::string& aRecord,
-                    Instant aDeadline,
-                    const Answer& aAnswer)
+  void RetryUnknownStore(FleetQuestion aQuestion,
+                         const std::string& aJob,
+                         const std::string& aRecord,
+                         Instant aDeadline,
+                         const Answer& aAnswer)
   {
     const auto done = [this, aQuestion, aJob, aRecord, aDeadline, aAnswer](
                         IntakeOutcome aOutcome) {
       if (aOutcome == IntakeOutcome::Stored) {
-        TellLeader(aQuestion == FleetQuestion::StoreJob
-                     ? FleetQuestion::JobStored
-                     : FleetQuestion::CancelStored,
-                   aJob,
-                   aRecord);
+        NotifyLeader(aQuestion == FleetQuestion::StoreJob
+                       ? FleetQuestion::JobStored
+                       : FleetQuestion::CancelStored,
+                     aJob,
+                     aRecord);
         aAnswer(ReplyOf(CallerOutcome::Stored));
         return;
       }
       if (aOutcome == IntakeOutcome::NotStored && !IsCutOff() &&
-          ReadMonotonicClock() + kDoubtRetry < aDeadline - kAnswerMargin) {
+          ReadMonotonicClock() + kUnknownOutcomeRetry <
+            aDeadline - kAnswerMargin) {
         QTimer::singleShot(
-          kDoubtRetry,
+          kUnknownOutcomeRetry,
           this,
           [this, aQuestion, aJob, aRecord, aDeadline, aAnswer] {
-            StoreInDoubt(aQuestion, aJob, aRecord, aDeadline, aAnswer);
+            RetryUnknownStore(aQuestion, aJob, aRecord, aDeadline, aAnswer);
           });
         return;
       }
@@ -725,14 +734,14 @@
                 } else if (known) {
                   StoreCancel(job, aDeadline, aAnswer);
                 } else {
-                  CancelUnknown(job, aDeadline, aAnswer);
+                  CancelStoredJob(job, aDeadline, aAnswer);
                 }
               });
   }
 
-  void CancelUnknown(const std::string& aJob,
-                     Instant aDeadline,
-                     const Answer& aAnswer)
+  void CancelStoredJob(const std::string& aJob,
+                       Instant aDeadline,
+                       const Answer& aAnswer)
   {
     stored_.Find(JobRowId(aJob),
                  [this, aJob, aDeadline, aAnswer](std::optional<bool> aStored) {
@@ -755,14 +764,14 @@
       aDeadline - kAnswerMargin,
       [this, aJob, aDeadline, aAnswer](IntakeOutcome aOutcome) {
         if (aOutcome == IntakeOutcome::Stored) {
-          TellLeader(FleetQuestion::CancelStored, aJob, {});
+          NotifyLeader(FleetQuestion::CancelStored, aJob, {});
           aAnswer(ReplyOf(CallerOutcome::Stored));
         } else if (aOutcome == IntakeOutcome::InDoubt) {
           aAnswer(ReplyOf(CallerOutcome::InDoubt,
                           "The table service did not answer in time; query the "
                           "job's state."));
-        } else if (lead_ == nullptr && leader_.Usable()) {
-          StoreByLeader(
+        } else if (leadership_ == nullptr && leaderLink_.Usable()) {
+          StoreViaLeader(
             FleetQuestion::StoreCancel, aJob, {}, aDeadline, aAnswer);
         } else {
           aAnswer(ReplyTryLater(
@@ -814,11 +823,11 @@
   }
 
   FleetEntrySettings settings_;
-  std::string life_;
+  std::string incarnation_;
   Store store_;
   JobIntake<Store> intake_;
   StoredJobs<Store> stored_;
-  LeaderLink leader_;
+  LeaderLink leaderLink_;
   LeaseRunner<Store> lease_;
   KeyKeeper<Store> key_;
   TableWatch<Store> configurationWatch_;
@@ -828,8 +837,8 @@
   std::unique_ptr<HttpFront> metrics_;
   std::unique_ptr<LinkListener> listener_;
   std::set<SideLink*> peers_;
-  std::unique_ptr<FleetLead<Store>> lead_;
-  std::uint64_t leadEpoch_ = 0;
+  std::unique_ptr<FleetLead<Store>> leadership_;
+  std::uint64_t leadershipEpoch_ = 0;
   bool stopping_ = false;
   StopNotice notice_;
   Instant stopBound_;
--- a/Source/Process/FleetLead.h
+++ b/Source/Process/FleetLead.h
@@ -42,12 +42,12 @@
             const LeaderLease& aLease,
             const FleetBounds& aBounds,
             std::string aNode,
-            std::function<void()> aDeposed)
+            std::function<void()> aLeadershipLost)
     : store_(aStore)
     , lease_(aLease)
     , epoch_(aLease.Epoch())
     , node_(std::move(aNode))
-    , deposed_(std::move(aDeposed))
+    , leadershipLost_(std::move(aLeadershipLost))
     , scheduler_(epoch_, aBounds, ReadWallClock() / 1000)
     , writer_(aStore, epoch_)
     , work_(
@@ -73,8 +73,8 @@
         [this] { OnMembersRead(); })
   {
     connect(&tick_, &QTimer::timeout, this, [this] { OnTick(); });
-    poke_.setSingleShot(true);
-    connect(&poke_, &QTimer::timeout, this, [this] { Pump(); });
+    pumpTimer_.setSingleShot(true);
+    connect(&pumpTimer_, &QTimer::timeout, this, [this] { Pump(); });
   }
 
   ~FleetLead() override
@@ -87,7 +87,7 @@
   void Start()
   {
     LogChange("leading", { { "epoch", std::to_string(epoch_) } });
-    writer_.Fence([this] { work_.Start(); }, [this] { deposed_(); });
+    writer_.Fence([this] { work_.Start(); }, [this] { leadershipLost_(); });
   }
 
   FleetScheduler& Scheduler() { return scheduler_; }
@@ -100,37 +100,37 @@
   void OnJobStored(const JobDescription& aSpec)
   {
     scheduler_.OnJobStored(aSpec, ReadMonotonicClock());
-    Poke();
+    SchedulePump();
   }
 
   void OnCancelStored(const std::string& aJob)
   {
     scheduler_.OnCancelStored(aJob, ReadMonotonicClock());
-    Poke();
+    SchedulePump();
   }
 
 private:
   static constexpr Millis kTick{ 50 };
   /** Delay that batches inputs which arrive together into one decision. */
-  static constexpr Millis kCoalesce{ 10 };
+  static constexpr Millis kCoalesceDelay{ 10 };
   /** Minimum interval between two writes of accumulated changes. */
-  static constexpr Millis kFlush{ 25 };
+  static constexpr Millis kFlushInterval{ 25 };
   /** Timeout without a report after which the link to a side is reopened. */
-  static constexpr Millis kSilentSide{ 2500 };
+  static constexpr Millis kSideTimeout{ 2500 };
   static constexpr Millis kLinkRetry{ 250 };
-  static constexpr Millis kSweep{ 5000 };
+  static constexpr Millis kSweepInterval{ 5000 };
   static constexpr Millis kRemoveTimeout{ 2000 };
 
   struct Side
   {
     std::string address_;
-    std::string life_;
+    std::string incarnation_;
     std::uint64_t rowVersion_ = 0;
     QPointer<SideLink> link_;
     /** Decoder state of link_. */
     ReportDecoder reports_;
     bool up_ = false;
-    Instant heardAt_;
+    Instant lastReceivedAt_;
     Instant retryAt_;
   };
 
@@ -206,10 +206,11 @@
     const auto& member = std::get<MemberRecord>(record);
     Side& side = sides_[node];
     side.rowVersion_ = aRow.version_;
-    if (side.address_ != member.address_ || side.life_ != member.life_) {
+    if (side.address_ != member.address_ ||
+        side.incarnation_ != member.incarnation_) {
       LoseLink(node, side);
       side.address_ = member.address_;
-      side.life_ = member.life_;
+      side.incarnation_ = member.incarnation_;
       side.retryAt_ = Instant();
     }
     if (scheduler_.OnSideRegistered(node, ReadMonotonicClock())) {
@@ -226,17 +227,17 @@
     if (Loaded()) {
       return;
     }
-    ReadLearned();
+    ReadInterferenceModel();
     scheduler_.OnLoaded(ReadMonotonicClock(), ReadWallClock() / 1000);
     tick_.start(kTick);
     CheckLinks();
     Pump();
   }
 
-  void ReadLearned()
+  void ReadInterferenceModel()
   {
     store_.Read(
-      RowRange::Only(LearnedRowId()),
+      RowRange::Only(InterferenceModelRowId()),
       ReadMonotonicClock() + kRemoveTimeout,
       Guarded(this, [this](Result<RowPage> aPage) {
         const auto* page = std::get_if<RowPage>(&aPage);
@@ -255,19 +256,20 @@
       }));
   }
 
-  void WriteLearned(Instant aNow)
+  void WriteInterferenceModel(Instant aNow)
   {
     LearnedContention record = scheduler_.Interference().Model().Export();
-    if (record.pairs_.empty() || !lease_.Leads(aNow)) {
+    if (record.pairs_.empty() || !lease_.IsLeader(aNow)) {
       return;
     }
     // Keeps the record within the maximum size of a row.
-    constexpr std::size_t kMostPairs = 400;
-    constexpr std::size_t kMostBases = 100;
-    record.pairs_.resize(std::min(record.pairs_.size(), kMostPairs));
-    record.bases_.resize(std::min(record.bases_.size(), kMostBases));
+    constexpr std::size_t kMaxPairs = 400;
+    constexpr std::size_t kMaxBases = 100;
+    record.pairs_.resize(std::min(record.pairs_.size(), kMaxPairs));
+    record.bases_.resize(std::min(record.bases_.size(), kMaxBases));
     RowTransaction transaction;
-    transaction.puts_.push_back({ LearnedRowId(), EncodeRecord(record) });
+    transaction.puts_.push_back(
+      { InterferenceModelRowId(), EncodeRecord(record) });
     store_.Write(transaction, aNow + kRemoveTimeout, [](const Commit&) {});
   }
 
@@ -305,7 +307,7 @@
     auto* link = new SideLink(target.ip_, target.port_, nullptr);
     aSide.link_ = link;
     aSide.reports_ = ReportDecoder();
-    aSide.heardAt_ = ReadMonotonicClock();
+    aSide.lastReceivedAt_ = ReadMonotonicClock();
     connect(link,
             &SideLink::Received,
             this,
@@ -329,23 +331,23 @@
     }
     LoseLink(aNode, found->second);
     found->second.retryAt_ = ReadMonotonicClock() + kLinkRetry;
-    Poke();
+    SchedulePump();
   }
 
   void CheckLinks()
   {
     const Instant now = ReadMonotonicClock();
-    std::vector<std::string> silent;
+    std::vector<std::string> timedOut;
     for (auto& [node, side] : sides_) {
       if (side.link_.isNull()) {
         if (now >= side.retryAt_) {
           OpenLink(node, side);
         }
-      } else if (now - side.heardAt_ > kSilentSide) {
-        silent.push_back(node);
+      } else if (now - side.lastReceivedAt_ > kSideTimeout) {
+        timedOut.push_back(node);
       }
     }
-    for (const std::string& node : silent) {
+    for (const std::string& node : timedOut) {
       OnLost(node);
     }
   }
@@ -370,19 +372,19 @@
       return;
     }
     const Instant now = ReadMonotonicClock();
-    found->second.heardAt_ = now;
+    found->second.lastReceivedAt_ = now;
     if (!found->second.up_) {
       found->second.up_ = true;
       scheduler_.OnLinkUp(aNode, now);
     }
     scheduler_.OnReport(aNode, *report, now);
-    Poke();
+    SchedulePump();
   }
 
-  void Poke()
+  void SchedulePump()
   {
-    if (!poke_.isActive()) {
-      poke_.start(kCoalesce);
+    if (!pumpTimer_.isActive()) {
+      pumpTimer_.start(kCoalesceDelay);
     }
   }
 
@@ -392,7 +394,7 @@
     Pump();
     const Instant now = ReadMonotonicClock();
     if (now >= nextSweep_) {
-      nextSweep_ = now + kSweep;
+      nextSweep_ = now + kSweepInterval;
       Sweep(now);
     }
   }
@@ -400,7 +402,7 @@
   void Pump()
   {
     const Instant now = ReadMonotonicClock();
-    if (!Loaded() || !lease_.Leads(now)) {
+    if (!Loaded() || !lease_.IsLeader(now)) {
       return;
     }
     scheduler_.OnTableCurrent(work_.CurrentAsOf());
@@ -430,7 +432,7 @@
     if (!batch.has_value() && removals_.empty()) {
       return;
     }
-    nextFlush_ = aNow + kFlush;
+    nextFlush_ = aNow + kFlushInterval;
     const std::uint64_t number = batch.has_value() ? batch->number_ : 0;
     writer_.Write(batch.value_or(ProgressBatch()),
                   std::exchange(removals_, {}),
@@ -438,7 +440,7 @@
                     if (number > 0) {
                       scheduler_.OnBatchStored(number, ReadMonotonicClock());
                     }
-                    Poke();
+                    SchedulePump();
                   });
   }
 
@@ -448,15 +450,15 @@
    */
   void Sweep(Instant aNow)
   {
-    WriteLearned(aNow);
+    WriteInterferenceModel(aNow);
     std::map<std::string, std::vector<std::string>> byPart;
     for (const std::string& id : scheduler_.Expired(ReadWallClock() / 1000)) {
       byPart[WorkPartOf(id)].push_back(id);
     }
-    constexpr std::size_t kMostAtOnce = 40;
+    constexpr std::size_t kMaxJobsPerTransaction = 40;
     for (auto& [part, found] : byPart) {
       std::vector<std::string> ids = std::move(found);
-      ids.resize(std::min(ids.size(), kMostAtOnce));
+      ids.resize(std::min(ids.size(), kMaxJobsPerTransaction));
       RowTransaction transaction;
       for (const std::string& id : ids) {
         transaction.removals_.push_back(JobRowId(id));
@@ -525,7 +527,7 @@
   const LeaderLease& lease_;
   std::uint64_t epoch_;
   std::string node_;
-  std::function<void()> deposed_;
+  std::function<void()> leadershipLost_;
   FleetScheduler scheduler_;
   ProgressWriter<Store> writer_;
   TableWatch<Store> work_;
@@ -536,7 +538,7 @@
   Instant nextFlush_;
   Instant nextSweep_;
   QTimer tick_;
-  QTimer poke_;
+  QTimer pumpTimer_;
 };
 
 }
--- a/Source/Process/FleetRecords.cxx
+++ b/Source/Process/FleetRecords.cxx
@@ -58,15 +58,15 @@
 }
 
 RowId
-LeadRowId()
+LeaderRowId()
 {
-  return { std::string(kLeadTable), {}, "scheduler" };
+  return { std::string(kLeaderTable), {}, "scheduler" };
 }
 
 RowId
-LearnedRowId()
+InterferenceModelRowId()
 {
-  return { std::string(kLeadTable), {}, "learned" };
+  return { std::string(kLeaderTable), {}, "learned" };
 }
 
 RowId
--- a/Source/Process/FleetRecords.h
+++ b/Source/Process/FleetRecords.h
@@ -30,7 +30,7 @@
 /** Sides that may have runs. */
 constexpr std::string_view kMemberTable = "member";
 /** Leader lease and the interference model. */
-constexpr std::string_view kLeadTable = "lead";
+constexpr std::string_view kLeaderTable = "lead";
 /** Key shared by all processes of the fleet. */
 constexpr std::string_view kKeyTable = "key";
 
@@ -54,11 +54,11 @@
 ProgressHeadId();
 
 RowId
-LeadRowId();
+LeaderRowId();
 
 /** Returns the row of the learned interference model; see ContentionModel. */
 RowId
-LearnedRowId();
+InterferenceModelRowId();
 
 RowId
 MemberRowId(std::string_view aNode);
@@ -72,12 +72,12 @@
   /** Address at which the side accepts links, "IP:PORT". */
   std::string address_;
   /** Incarnation of the process. */
-  std::string life_;
+  std::string incarnation_;
 
   template<class Archive>
   void serialize(Archive& ar)
   {
-    ar(address_, life_);
+    ar(address_, incarnation_);
   }
 };
 
--- a/Source/Process/FleetSide.h
+++ b/Source/Process/FleetSide.h
@@ -106,17 +106,18 @@
   static constexpr Millis kTick{ 50 };
   /** Change of the offset between the two clocks that indicates a suspension.
    * Consecutive readings without a suspension differ by less. */
-  static constexpr Millis kSuspended{ 20 };
+  static constexpr Millis kSuspensionThreshold{ 20 };
   static constexpr Millis kStopBound{ 1500 };
   static constexpr Millis kRegisterTimeout{ 1500 };
   static constexpr Millis kDeregisterTimeout{ 1000 };
   static constexpr Millis kRegisterRetry{ 300 };
   /** Timeout without a message after which the link to the leader is closed. */
-  static constexpr Millis kSilentLeader{ 3000 };
+  static constexpr Millis kLeaderTimeout{ 3000 };
 
   explicit FleetSide(const FleetSideSettings& aSettings)
     : settings_(aSettings)
-    , life_(aSettings.fleet_.name_ + "-" + std::to_string(ReadWallClock()))
+    , incarnation_(aSettings.fleet_.name_ + "-" +
+                   std::to_string(ReadWallClock()))
     , store_(aSettings.fleet_.store_)
     , worker_(aSettings.worker_)
     // The wall clock increases between incarnations. If the clock was set back,
@@ -169,12 +170,12 @@
         LogChange("worker-announced", { { "worker", announced->facts_.id_ } });
       }
       keeper_.OnAnnounced(*announced, now);
-    } else if (const auto* farewell = std::get_if<WorkerFarewell>(&notice)) {
-      LogChange("worker-left", { { "worker", farewell->id_ } });
-      keeper_.OnWorkerLeft(farewell->id_, now);
+    } else if (const auto* leaving = std::get_if<WorkerFarewell>(&notice)) {
+      LogChange("worker-left", { { "worker", leaving->id_ } });
+      keeper_.OnWorkerLeft(leaving->id_, now);
     }
     aExchange.Answer(Platform::AcknowledgeNotice());
-    RegisterIfKnown();
+    RegisterIfNeeded();
     Pump();
   }
 
@@ -189,7 +190,7 @@
       return;
     }
     listener_ = std::move(std::get<std::unique_ptr<LinkListener>>(listener));
-    FindFormerRow();
+    FindEarlierRow();
   }
 
   /**
@@ -198,7 +199,7 @@
    * A leader that takes over waits for each side that has a row. A side without
    * a row and without a worker writes none, because nothing can run there.
    */
-  void FindFormerRow()
+  void FindEarlierRow()
   {
     store_.Read(RowRange::Only(MemberRowId(settings_.fleet_.name_)),
                 ReadMonotonicClock() + kRegisterTimeout,
@@ -206,22 +207,22 @@
                   const auto* page = std::get_if<RowPage>(&aPage);
                   if (page == nullptr) {
                     QTimer::singleShot(
-                      kRegisterRetry, this, [this] { FindFormerRow(); });
+                      kRegisterRetry, this, [this] { FindEarlierRow(); });
                     return;
                   }
-                  formerRow_ = !page->rows_.empty();
-                  RegisterIfKnown();
+                  hasEarlierRow_ = !page->rows_.empty();
+                  RegisterIfNeeded();
                 }));
   }
 
   /** Registers this side if it has a worker or a row of an earlier
    * incarnation, unless it has registered already. */
-  void RegisterIfKnown()
+  void RegisterIfNeeded()
   {
-    if (!formerRow_.has_value() || registeredAt_ != Instant()) {
+    if (!hasEarlierRow_.has_value() || registeredAt_ != Instant()) {
       return;
     }
-    if (*formerRow_ || !keeper_.WorkerId().empty()) {
+    if (*hasEarlierRow_ || !keeper_.WorkerId().empty()) {
       Register();
     }
   }
@@ -235,7 +236,7 @@
     registering_ = true;
     registeredAt_ = ReadMonotonicClock();
     RowTransaction transaction;
-    const MemberRecord record{ settings_.fleet_.links_.Text(), life_ };
+    const MemberRecord record{ settings_.fleet_.links_.Text(), incarnation_ };
     transaction.puts_.push_back(
       { MemberRowId(settings_.fleet_.name_), EncodeRecord(record) });
     store_.Write(transaction,
@@ -309,7 +310,7 @@
     if (orders == nullptr || link_ != aLink) {
       return;
     }
-    heardAt_ = now;
+    lastReceivedAt_ = now;
     if (!keeper_.OnOrders(*orders, now)) {
       DropLink();
       return;
@@ -327,7 +328,7 @@
     DropLink();
     link_ = aLink;
     linkEpoch_ = aHello.epoch_;
-    heardAt_ = aNow;
+    lastReceivedAt_ = aNow;
     LogChange("leader-linked",
               { { "leader", aHello.node_ },
                 { "epoch", std::to_string(aHello.epoch_) } });
@@ -349,12 +350,13 @@
   void OnTick()
   {
     const Instant now = ReadMonotonicClock();
-    if (!link_.isNull() && now - heardAt_ > kSilentLeader) {
+    if (!link_.isNull() && now - lastReceivedAt_ > kLeaderTimeout) {
       LogChange("leader-silent", {});
       DropLink();
     }
     if (registeredAt_ != Instant() && link_.isNull() &&
-        now - heardAt_ > kOrphanedSide && now - registeredAt_ > kOrphanedSide) {
+        now - lastReceivedAt_ > kOrphanedSide &&
+        now - registeredAt_ > kOrphanedSide) {
       Register();
     }
     Pump();
@@ -362,22 +364,22 @@
 
   /** Detects a suspension of the host since the last call and reports its
    * duration to the keeper. */
-  void NoteSuspension(Instant aNow)
+  void DetectSuspension(Instant aNow)
   {
-    const Micros apart = aNow - ReadRunningClock();
-    const auto gap = std::chrono::duration_cast<Millis>(apart - clocksApart_);
-    if (clocksKnown_ && gap > kSuspended) {
+    const Micros offset = aNow - ReadRunningClock();
+    const auto gap = std::chrono::duration_cast<Millis>(offset - clockOffset_);
+    if (clockOffsetKnown_ && gap > kSuspensionThreshold) {
       LogChange("host-suspended", { { "ms", std::to_string(gap.count()) } });
       keeper_.OnSuspended(gap);
     }
-    clocksKnown_ = true;
-    clocksApart_ = apart;
+    clockOffsetKnown_ = true;
+    clockOffset_ = offset;
   }
 
   void Pump()
   {
     const Instant now = ReadMonotonicClock();
-    NoteSuspension(now);
+    DetectSuspension(now);
     for (const WorkerCall& call : keeper_.TakeCalls(now)) {
       const std::uint64_t id =
         std::visit([](const auto& aCall) { return aCall.head_.id_; }, call);
@@ -399,7 +401,7 @@
   }
 
   FleetSideSettings settings_;
-  std::string life_;
+  std::string incarnation_;
   Store store_;
   typename Platform::WorkerClient worker_;
   WorkerKeeper keeper_;
@@ -411,20 +413,20 @@
   /** Encoder state of link_. */
   ReportEncoder reports_;
   std::uint64_t linkEpoch_ = 0;
-  Instant heardAt_;
+  Instant lastReceivedAt_;
   Instant registeredAt_;
   bool registering_ = false;
   /** Whether the table has a row of an earlier incarnation; std::nullopt until
    * the table has been read. */
-  std::optional<bool> formerRow_;
+  std::optional<bool> hasEarlierRow_;
   /** Version of this side's row as last written. */
   std::uint64_t memberVersion_ = 0;
   bool deregistering_ = false;
   QTimer tick_;
   /** Monotonic clock that includes suspended time minus the clock that does
    * not. */
-  Micros clocksApart_{ 0 };
-  bool clocksKnown_ = false;
+  Micros clockOffset_{ 0 };
+  bool clockOffsetKnown_ = false;
   Instant stopBound_;
   std::function<void()> stopped_;
 };
--- a/Source/Process/LeaderLease.cxx
+++ b/Source/Process/LeaderLease.cxx
@@ -10,47 +10,49 @@
 /** Delay before the retry of a failed call to the table. */
 constexpr Millis kRetry{ 250 };
 /** Share of a processor that is sufficient for a leader. */
-constexpr double kEnoughProcessors = 0.5;
-/** Delay per multiple by which a host falls short of kEnoughProcessors. Longer
- * than the 0.1 s between two reads of the row plus the duration of a write. */
-constexpr Millis kStandAside{ 150 };
+constexpr double kSufficientProcessors = 0.5;
+/** Delay per multiple by which a host falls short of kSufficientProcessors.
+ * Longer than the 0.1 s between two reads of the row plus the duration of a
+ * write. */
+constexpr Millis kAcquisitionDelayStep{ 150 };
 /** Maximum delay; a longer time without a leader costs more than a slow leader.
  */
-constexpr Millis kMostAside{ 600 };
+constexpr Millis kMaxAcquisitionDelay{ 600 };
 /** Minimum ratio of processors for a handover. Moving the leadership stops all
  * placement for about 0.2 s. */
-constexpr double kWorthAMove = 2;
+constexpr double kMinHandoverRatio = 2;
 /** Smallest step past a deadline. */
-constexpr Millis kJustAfter{ 1 };
+constexpr Millis kPastExpiry{ 1 };
 /** Delay before a leader that yielded renews, which lets the other entry take
  * over. */
-constexpr Millis kYieldPause{ 1500 };
+constexpr Millis kYieldDelay{ 1500 };
 
 }
 
 Millis
-LeaderLease::StandAside(double aProcessors)
+LeaderLease::AcquisitionDelay(double aProcessors)
 {
-  const double times = kEnoughProcessors / std::max(aProcessors, 0.01) - 1;
-  const auto aside =
-    std::chrono::duration_cast<Millis>(std::max(times, 0.0) * kStandAside);
-  return std::min(aside, kMostAside);
+  const double times = kSufficientProcessors / std::max(aProcessors, 0.01) - 1;
+  const auto delay = std::chrono::duration_cast<Millis>(std::max(times, 0.0) *
+                                                        kAcquisitionDelayStep);
+  return std::min(delay, kMaxAcquisitionDelay);
 }
 
 LeaderLease::LeaderLease(Identity aSelf)
   : self_(std::move(aSelf))
-  , standAside_(StandAside(self_.processors_))
+  , acquisitionDelay_(AcquisitionDelay(self_.processors_))
 {
 }
 
 bool
 LeaderLease::IsOwn(const LeaderRecord& aRecord) const
 {
-  return aRecord.node_ == self_.node_ && aRecord.life_ == self_.life_;
+  return aRecord.node_ == self_.node_ &&
+         aRecord.incarnation_ == self_.incarnation_;
 }
 
 bool
-LeaderLease::Leads(Instant aNow) const
+LeaderLease::IsLeader(Instant aNow) const
 {
   return holds_ && !stepDown_ && aNow < deadline_;
 }
@@ -61,7 +63,7 @@
   if (busy_ || steppedDown_ || aNow < nextAt_) {
     return LeaseStep::Nothing;
   }
-  if (!known_ || inDoubt_) {
+  if (!rowKnown_ || outcomeUnknown_) {
     busy_ = true;
     sentAt_ = aNow;
     return LeaseStep::Read;
@@ -83,7 +85,7 @@
   wanted_ = row_.record_;
   if (stepDown_) {
     wanted_.node_.clear();
-    wanted_.life_.clear();
+    wanted_.incarnation_.clear();
   }
   return Write(aNow);
 }
@@ -93,30 +95,32 @@
 {
   const LeaderRecord& leader = row_.record_;
   if (row_.version_ == 0 || leader.node_.empty()) {
-    return aNow - seenSince_ >= standAside_;
+    return aNow - unchangedSince_ >= acquisitionDelay_;
   }
   // The holder listened at the address that this process listens at now, so the
   // holder no longer runs.
-  if (leader.address_ == self_.address_ && leader.life_ != self_.life_) {
+  if (leader.address_ == self_.address_ &&
+      leader.incarnation_ != self_.incarnation_) {
     return true;
   }
   if (row_.version_ == yieldedVersion_) {
     return true;
   }
-  return aNow > OverAt();
+  return aNow > ExpiresAt();
 }
 
 Instant
-LeaderLease::OverAt() const
+LeaderLease::ExpiresAt() const
 {
-  return seenSince_ + (kLeaderLease + kLeaderLeaseSlack + standAside_);
+  return unchangedSince_ +
+         (kLeaderLease + kLeaderLeaseSlack + acquisitionDelay_);
 }
 
 bool
-LeaderLease::HandsOverTo(double aProcessors) const
+LeaderLease::ShouldYieldTo(double aProcessors) const
 {
-  return holds_ && !stepDown_ && self_.processors_ < kEnoughProcessors &&
-         aProcessors >= kWorthAMove * self_.processors_;
+  return holds_ && !stepDown_ && self_.processors_ < kSufficientProcessors &&
+         aProcessors >= kMinHandoverRatio * self_.processors_;
 }
 
 LeaseStep
@@ -132,7 +136,7 @@
     return LeaseStep::Read;
   }
   wanted_ = {
-    row_.record_.epoch_ + 1, self_.node_, self_.life_, self_.address_
+    row_.record_.epoch_ + 1, self_.node_, self_.incarnation_, self_.address_
   };
   return Write(aNow);
 }
@@ -141,12 +145,12 @@
 LeaderLease::OnRead(const LeaderRow& aRow, Instant aSentAt, Instant aNow)
 {
   busy_ = false;
-  inDoubt_ = false;
-  const bool changed = !known_ || row_.version_ != aRow.version_;
-  known_ = true;
+  outcomeUnknown_ = false;
+  const bool changed = !rowKnown_ || row_.version_ != aRow.version_;
+  rowKnown_ = true;
   row_ = aRow;
   if (changed) {
-    seenSince_ = aNow;
+    unchangedSince_ = aNow;
   }
   const bool own = IsOwn(row_.record_);
   if (own && !holds_) {
@@ -163,9 +167,9 @@
   // to kLeaderWatch later, because the fleet starts nothing without a leader.
   nextAt_ = own || IsFree(aNow)
               ? aNow
-              : std::min(aNow + kLeaderWatch, OverAt() + kJustAfter);
+              : std::min(aNow + kLeaderWatch, ExpiresAt() + kPastExpiry);
   if (row_.record_.node_.empty()) {
-    nextAt_ = std::max(aNow, seenSince_ + standAside_);
+    nextAt_ = std::max(aNow, unchangedSince_ + acquisitionDelay_);
   }
 }
 
@@ -182,7 +186,7 @@
   busy_ = false;
   row_.record_ = wanted_;
   row_.version_ = aVersion;
-  seenSince_ = aNow;
+  unchangedSince_ = aNow;
   yieldedVersion_ = 0;
   holds_ = IsOwn(wanted_);
   if (!holds_) {
@@ -194,23 +198,23 @@
 }
 
 void
-LeaderLease::BeginDoubt(Instant aNow)
+LeaderLease::RequireRead(Instant aNow)
 {
   busy_ = false;
-  inDoubt_ = true;
+  outcomeUnknown_ = true;
   nextAt_ = aNow;
 }
 
 void
 LeaderLease::OnConflict(Instant aNow)
 {
-  BeginDoubt(aNow);
+  RequireRead(aNow);
 }
 
 void
-LeaderLease::OnDoubt(Instant aNow)
+LeaderLease::OnUnknownOutcome(Instant aNow)
 {
-  BeginDoubt(aNow);
+  RequireRead(aNow);
   nextAt_ = aNow + kRetry;
 }
 
@@ -229,7 +233,7 @@
     return;
   }
   deadline_ = aNow;
-  nextAt_ = aNow + kYieldPause;
+  nextAt_ = aNow + kYieldDelay;
 }
 
 void
--- a/Source/Process/LeaderLease.h
+++ b/Source/Process/LeaderLease.h
@@ -19,14 +19,14 @@
   /** Name of the leading process; empty if the last leader stepped down. */
   std::string node_;
   /** Incarnation of that process. */
-  std::string life_;
+  std::string incarnation_;
   /** Address at which the process accepts links, "IP:PORT". */
   std::string address_;
 
   template<class Archive>
   void serialize(Archive& ar)
   {
-    ar(epoch_, node_, life_, address_);
+    ar(epoch_, node_, incarnation_, address_);
   }
 };
 
@@ -74,14 +74,14 @@
    * for example when all of them start: hosts with half a processor or more do
    * not wait. After the loss of a leader the larger host may still lose,
    * because the entries observe the last renewal up to kLeaderWatch apart; see
-   * HandsOverTo().
+   * ShouldYieldTo().
    */
-  static Millis StandAside(double aProcessors);
+  static Millis AcquisitionDelay(double aProcessors);
 
   struct Identity
   {
     std::string node_;
-    std::string life_;
+    std::string incarnation_;
     std::string address_;
     /** Number of processors of the host, or the share of one processor. */
     double processors_ = 1;
@@ -107,7 +107,7 @@
    * row or an earlier write of this process was applied late. */
   void OnConflict(Instant aNow);
   /** Handles a write with an unknown outcome. */
-  void OnDoubt(Instant aNow);
+  void OnUnknownOutcome(Instant aNow);
   /** Handles a write that had no effect. */
   void OnNotWritten(Instant aNow);
 
@@ -138,13 +138,13 @@
    * A leader on a host with too small a share of a processor falls seconds
    * behind.
    */
-  bool HandsOverTo(double aProcessors) const;
+  bool ShouldYieldTo(double aProcessors) const;
 
   /** Starts a planned stop: the next write releases the lease. */
   void StepDown();
 
   /** Returns whether this process may send orders and acknowledge now. */
-  bool Leads(Instant aNow) const;
+  bool IsLeader(Instant aNow) const;
   /** Returns whether the row names this process, even if its lease expired. */
   bool Holds() const { return holds_; }
   /** Returns whether this process has released the lease in the table, or had
@@ -163,19 +163,19 @@
   bool IsFree(Instant aNow) const;
   /** Returns when this process may treat the observed lease as expired, unless
    * the lease is renewed. */
-  Instant OverAt() const;
-  void BeginDoubt(Instant aNow);
+  Instant ExpiresAt() const;
+  void RequireRead(Instant aNow);
 
   Identity self_;
-  Millis standAside_;
+  Millis acquisitionDelay_;
   LeaderRow row_;
-  bool known_ = false;
+  bool rowKnown_ = false;
   /** Time of the first observation of the current row version. */
-  Instant seenSince_;
+  Instant unchangedSince_;
   LeaderRecord wanted_;
   bool busy_ = false;
   bool holds_ = false;
-  bool inDoubt_ = false;
+  bool outcomeUnknown_ = false;
   bool stepDown_ = false;
   bool steppedDown_ = false;
   /** Row version that the leader yielded; 0 if none. */
--- a/Source/Process/LeaderLink.cxx
+++ b/Source/Process/LeaderLink.cxx
@@ -31,13 +31,14 @@
 }
 
 void
-LeaderLink::SetLeader(const std::string& aAddress, const std::string& aLife)
+LeaderLink::SetLeader(const std::string& aAddress,
+                      const std::string& aIncarnation)
 {
-  if (address_ == aAddress && life_ == aLife) {
+  if (address_ == aAddress && incarnation_ == aIncarnation) {
     return;
   }
   address_ = aAddress;
-  life_ = aLife;
+  incarnation_ = aIncarnation;
   retryAt_ = Instant();
   Drop();
   Link();
@@ -152,7 +153,7 @@
 }
 
 void
-LeaderLink::Tell(FleetAskMessage aAsk)
+LeaderLink::Notify(FleetAskMessage aAsk)
 {
   if (SideLink* link = Link()) {
     aAsk.id_ = 0;
--- a/Source/Process/LeaderLink.h
+++ b/Source/Process/LeaderLink.h
@@ -34,14 +34,14 @@
 
   /** Sets the address and incarnation of the leader; an empty address means
    * that there is none. */
-  void SetLeader(const std::string& aAddress, const std::string& aLife);
+  void SetLeader(const std::string& aAddress, const std::string& aIncarnation);
 
   /** Sends a request and calls aCallback exactly once, with std::nullopt if no
    * answer arrives within aTimeout or the link is lost. */
   void Ask(FleetAskMessage aAsk, Millis aTimeout, Callback aCallback);
 
   /** Sends a request that expects no answer. */
-  void Tell(FleetAskMessage aAsk);
+  void Notify(FleetAskMessage aAsk);
 
   /** Returns whether the link is open and no request has timed out since the
    * last answer. */
@@ -61,7 +61,7 @@
   std::string node_;
   std::uint32_t milliProcessors_;
   std::string address_;
-  std::string life_;
+  std::string incarnation_;
   QPointer<SideLink> link_;
   std::map<std::uint64_t, Callback> open_;
   std::uint64_t nextAsk_ = 1;
--- a/Source/Process/LeaseRunner.h
+++ b/Source/Process/LeaseRunner.h
@@ -82,7 +82,7 @@
 
   void Read(Instant aSentAt)
   {
-    const RowId id = LeadRowId();
+    const RowId id = LeaderRowId();
     store_.Read({ id.table_, id.part_, id.key_, {} },
                 aSentAt + kCallTimeout,
                 Guarded(this, [this, aSentAt](Result<RowPage> aPage) {
@@ -102,7 +102,7 @@
     answeredAt_ = now;
     LeaderRow row;
     if (!page->rows_.empty() &&
-        page->rows_.front().id_.key_ == LeadRowId().key_) {
+        page->rows_.front().id_.key_ == LeaderRowId().key_) {
       Result<LeaderRecord> record =
         DecodeRecord<LeaderRecord>(page->rows_.front().value_);
       if (auto* decoded = std::get_if<LeaderRecord>(&record)) {
@@ -121,8 +121,9 @@
   void Write(Instant aSentAt)
   {
     RowTransaction transaction;
-    transaction.conditions_.push_back({ LeadRowId(), lease_.RowVersion() });
-    transaction.puts_.push_back({ LeadRowId(), EncodeRecord(lease_.Wanted()) });
+    transaction.conditions_.push_back({ LeaderRowId(), lease_.RowVersion() });
+    transaction.puts_.push_back(
+      { LeaderRowId(), EncodeRecord(lease_.Wanted()) });
     store_.Write(
       transaction,
       aSentAt + kCallTimeout,
@@ -147,7 +148,7 @@
         lease_.OnNotWritten(now);
         break;
       case CommitOutcome::Doubt:
-        lease_.OnDoubt(now);
+        lease_.OnUnknownOutcome(now);
         break;
     }
     changed_();
--- a/Source/Process/ProgressWriter.h
+++ b/Source/Process/ProgressWriter.h
@@ -34,11 +34,12 @@
   }
 
   /** Claims the head row for this epoch. Calls aFenced once no earlier leader
-   * can write, or aDeposed if the head row has a higher epoch. */
-  void Fence(std::function<void()> aFenced, std::function<void()> aDeposed)
+   * can write, or aLeadershipLost if the head row has a higher epoch. */
+  void Fence(std::function<void()> aFenced,
+             std::function<void()> aLeadershipLost)
   {
     fenced_ = std::move(aFenced);
-    deposed_ = std::move(aDeposed);
+    leadershipLost_ = std::move(aLeadershipLost);
     ReadHead();
   }
 
@@ -70,7 +71,7 @@
   static constexpr std::size_t kMaxRows = 90;
   static constexpr std::size_t kMaxBytes = 600000;
 
-  void Later(void (ProgressWriter::*aStep)())
+  void RetryLater(void (ProgressWriter::*aStep)())
   {
     QTimer::singleShot(kRetry, this, [this, aStep] { (this->*aStep)(); });
   }
@@ -89,7 +90,7 @@
   {
     const auto* page = std::get_if<RowPage>(&aPage);
     if (page == nullptr) {
-      Later(&ProgressWriter::ReadHead);
+      RetryLater(&ProgressWriter::ReadHead);
       return;
     }
     ProgressHead head;
@@ -107,7 +108,7 @@
       version_ = page->rows_.front().version_;
     }
     if (head.epoch_ > epoch_) {
-      deposed_();
+      leadershipLost_();
       return;
     }
     if (writing_.has_value() && head.epoch_ == writing_->epoch_ &&
@@ -151,7 +152,7 @@
         OnPartStored();
         return;
       case CommitOutcome::NotDone:
-        Later(&ProgressWriter::WriteNext);
+        RetryLater(&ProgressWriter::WriteNext);
         return;
       case CommitOutcome::Conflict:
         // An earlier attempt of this writer was applied late, or a newer leader
@@ -159,7 +160,7 @@
         ReadHead();
         return;
       case CommitOutcome::Doubt:
-        Later(&ProgressWriter::ReadHead);
+        RetryLater(&ProgressWriter::ReadHead);
         return;
     }
   }
@@ -200,7 +201,7 @@
   std::size_t removalCount_ = 0;
   bool busy_ = false;
   std::function<void()> fenced_;
-  std::function<void()> deposed_;
+  std::function<void()> leadershipLost_;
   std::function<void()> stored_;
 };
 
--- a/Source/Process/StoredJobs.h
+++ b/Source/Process/StoredJobs.h
@@ -45,7 +45,7 @@
                  aAnswer(ReplyTryLater(kNoAnswer));
                  return;
                }
-               const JobState state = StateIn(*page);
+               const JobState state = DecodeState(*page);
                if (IsFinal(state)) {
                  aAnswer(ReplyState(state));
                  return;
@@ -83,7 +83,7 @@
 
   /** Returns the state in the row. A row that cannot be decoded counts as
    * Running, because a row exists only after a task of the job has run. */
-  static JobState StateIn(const RowPage& aPage)
+  static JobState DecodeState(const RowPage& aPage)
   {
     if (aPage.rows_.empty()) {
       return JobState::Pending;
--- a/Source/Process/TableWatch.h
+++ b/Source/Process/TableWatch.h
@@ -53,7 +53,7 @@
   void Start()
   {
     nextPart_ = 0;
-    unread_ = parts_.size();
+    unreadParts_ = parts_.size();
     version_ = std::numeric_limits<std::uint64_t>::max();
     readAsOf_ = Instant::max();
     for (std::size_t i = 0; i < std::min(kReadsAtOnce, parts_.size()); ++i) {
@@ -120,7 +120,7 @@
       ReadFrom({ aPosition.part_, page->rows_.back().id_.key_ + " " });
       return;
     }
-    if (--unread_ > 0) {
+    if (--unreadParts_ > 0) {
       ReadNextPart();
       return;
     }
@@ -170,7 +170,7 @@
   std::function<void()> onRead_;
   std::size_t nextPart_ = 0;
   /** Number of parts that have not been read completely. */
-  std::size_t unread_ = 0;
+  std::size_t unreadParts_ = 0;
   std::uint64_t version_ = 0;
   /** Time at which the watch in flight was sent. */
   Instant sentAt_;
--- a/Source/Process/WorkerKeeper.cxx
+++ b/Source/Process/WorkerKeeper.cxx
@@ -23,32 +23,32 @@
 constexpr Millis kIdleHoldWait{ 1500 };
 /** Delay of the next hold while ends are not stored. Such ends make a hold
  * return at once, so the delay gives the leader time to store them. */
-constexpr Millis kUnstoredPause{ 150 };
+constexpr Millis kUnstoredDelay{ 150 };
 constexpr Millis kHoldRetry{ 150 };
 /** Number of consecutive refusals of the worker's port, 150 ms apart, after the
  * start of this side that show that no worker is running. */
-constexpr std::uint32_t kRefusalsOfNothing = 3;
+constexpr std::uint32_t kRefusalsWithoutWorker = 3;
 /** Limit of orders in flight; a worker accepts 64 connections. */
-constexpr std::size_t kMaxOpenOrders = 24;
+constexpr std::size_t kMaxOrdersInFlight = 24;
 /** Time without an answer after which a worker gets no new work. */
-constexpr Millis kSilence{ 1600 };
+constexpr Millis kAnswerTimeout{ 1600 };
 /** Time without an answer after which leases are no longer renewed. The worker
  * may still execute each renewal without an answer, so for a worker that is
  * gone for good the latest possible end of the leases would never be reached.
  */
-constexpr Millis kRenewUnanswered{ 2500 };
+constexpr Millis kRenewalTimeout{ 2500 };
 /** Interval between reports of changes that are not urgent, such as accepted
  * starts and measurements. */
-constexpr Millis kReportSpacing{ 100 };
+constexpr Millis kDeferredReportInterval{ 100 };
 /** Margin added to the end of a lease on the clock of this side, for the
  * latency of the call. */
 constexpr Millis kLeaseMargin{ 200 };
 /** Increase of a fence that is too low because the wall clock was set back: one
  * hour in ms, which is more than any clock correction. */
-constexpr std::uint64_t kFenceJump = 3600000;
+constexpr std::uint64_t kFenceIncrement = 3600000;
 
 Millis
-LongestRealLease(Millis aLease)
+MaxLeaseDuration(Millis aLease)
 {
   return std::chrono::duration_cast<Millis>(aLease / (1 - kWorkerClockDrift)) +
          kLeaseMargin;
@@ -59,7 +59,7 @@
 WorkerKeeper::WorkerKeeper(const Settings& aSettings, Instant aNow)
   : settings_(aSettings)
   , fence_(aSettings.fence_)
-  , leasesOverAt_(aNow + LongestRealLease(aSettings.maxLease_))
+  , leasesExpireAt_(aNow + MaxLeaseDuration(aSettings.maxLease_))
   , reportedAt_(aNow)
 {
 }
@@ -83,7 +83,7 @@
   if (lease <= Millis(0) || clockReadAt_ == Instant() || aNow > renewUntil_) {
     return std::nullopt;
   }
-  leasesOverAt_ = std::max(leasesOverAt_, aNow + LongestRealLease(lease));
+  leasesExpireAt_ = std::max(leasesExpireAt_, aNow + MaxLeaseDuration(lease));
   return WorkerClock(aNow) + lease.count();
 }
 
@@ -91,11 +91,11 @@
 WorkerKeeper::OnAnnounced(const WorkerAnnouncement& aAnnouncement, Instant aNow)
 {
   const std::string& id = aAnnouncement.facts_.id_;
-  if (pastLives_.contains(id) || (leaving_ && id == facts_.id_)) {
+  if (pastIncarnations_.contains(id) || (leaving_ && id == facts_.id_)) {
     return;
   }
   if (facts_.id_.empty()) {
-    BeginLife(aAnnouncement, aNow);
+    BeginIncarnation(aAnnouncement, aNow);
     return;
   }
   if (id != facts_.id_) {
@@ -123,13 +123,14 @@
 }
 
 void
-WorkerKeeper::BeginLife(const WorkerAnnouncement& aAnnouncement, Instant aNow)
+WorkerKeeper::BeginIncarnation(const WorkerAnnouncement& aAnnouncement,
+                               Instant aNow)
 {
-  inherited_ = !seenLife_;
-  seenLife_ = true;
+  predatesSide_ = !incarnationSeen_;
+  incarnationSeen_ = true;
   if (!facts_.id_.empty()) {
-    pastLives_.insert(facts_.id_);
-    ForgetRuns();
+    pastIncarnations_.insert(facts_.id_);
+    RemoveAllRuns();
   }
   facts_ = aAnnouncement.facts_;
   facts_.answers_ = false;
@@ -137,8 +138,8 @@
   sequence_ = aAnnouncement.sequence_;
   clockMs_ = aAnnouncement.clockMs_;
   clockReadAt_ = aNow;
-  renewUntil_ = aNow + kRenewUnanswered;
-  known_ = false;
+  renewUntil_ = aNow + kRenewalTimeout;
+  runsKnown_ = false;
   ends_.clear();
   endsStored_ = 0;
   endsReported_ = 0;
@@ -147,16 +148,16 @@
 }
 
 void
-WorkerKeeper::ForgetRuns()
+WorkerKeeper::RemoveAllRuns()
 {
   runs_.clear();
   refused_.clear();
   std::erase_if(calls_, [](const auto& aEntry) {
-    return aEntry.second.kind_ == OpenCall::Kind::Start ||
-           aEntry.second.kind_ == OpenCall::Kind::Stop ||
-           aEntry.second.kind_ == OpenCall::Kind::Pace;
+    return aEntry.second.kind_ == CallInFlight::Kind::Start ||
+           aEntry.second.kind_ == CallInFlight::Kind::Stop ||
+           aEntry.second.kind_ == CallInFlight::Kind::Pace;
   });
-  openOrders_ = 0;
+  ordersInFlight_ = 0;
   reportDue_ = true;
 }
 
@@ -177,17 +178,17 @@
 }
 
 void
-WorkerKeeper::EndLife()
+WorkerKeeper::EndIncarnation()
 {
   // The runs of a worker end with its process.
   leaving_ = false;
-  pastLives_.insert(facts_.id_);
+  pastIncarnations_.insert(facts_.id_);
   facts_ = WorkerDescription();
-  ForgetRuns();
+  RemoveAllRuns();
   ends_.clear();
   endsStored_ = 0;
   endsReported_ = 0;
-  known_ = true;
+  runsKnown_ = true;
 }
 
 void
@@ -213,7 +214,7 @@
     Instant(Micros(static_cast<std::int64_t>(aOrders.echoMicros_))) +
     Micros(static_cast<std::int64_t>(aOrders.holdMicros_));
   authorityUntil_ = std::max(authorityUntil_, until);
-  watchUntil_ = Instant(Micros(
+  highFrequencyUntil_ = Instant(Micros(
     static_cast<std::int64_t>(aOrders.echoMicros_ + aOrders.watchMicros_)));
   if (aOrders.workerId_ != facts_.id_) {
     // The orders address a past incarnation of the worker, whose runs are gone;
@@ -278,7 +279,7 @@
 }
 
 CallHead
-WorkerKeeper::Head(OpenCall aCall, Millis aTimeout, Instant aNow)
+WorkerKeeper::Head(CallInFlight aCall, Millis aTimeout, Instant aNow)
 {
   CallHead head;
   head.id_ = nextCall_++;
@@ -293,7 +294,7 @@
 Millis
 WorkerKeeper::HoldWait(Instant aNow) const
 {
-  if (aNow < watchUntil_) {
+  if (aNow < highFrequencyUntil_) {
     return kCloseWatch;
   }
   return runs_.empty() ? kIdleHoldWait : kHoldWait;
@@ -308,30 +309,31 @@
 void
 WorkerKeeper::AddHold(std::vector<WorkerCall>& aCalls, Instant aNow)
 {
-  const bool lastHold = stopping_ && !stopHoldSent_ && !stopHoldDone_;
-  if (facts_.id_.empty() || (!lastHold && (holding_ || aNow < nextHoldAt_))) {
+  const bool holdBeforeStop = stopping_ && !stopHoldSent_ && !stopHoldDone_;
+  if (facts_.id_.empty() ||
+      (!holdBeforeStop && (holdInFlight_ || aNow < nextHoldAt_))) {
     return;
   }
   HoldCall call;
-  OpenCall open;
-  if (candidate_.has_value() && !lastHold) {
-    open.kind_ = OpenCall::Kind::Probe;
+  CallInFlight open;
+  if (candidate_.has_value() && !holdBeforeStop) {
+    open.kind_ = CallInFlight::Kind::Probe;
     open.workerId_ = candidate_->facts_.id_;
     call.wait_ = Millis(0);
   } else {
-    open.kind_ = OpenCall::Kind::Hold;
+    open.kind_ = CallInFlight::Kind::Hold;
     open.workerId_ = facts_.id_;
     call.endsStored_ = endsStored_;
     call.wait_ = HoldWait(aNow);
-    open.last_ = lastHold;
+    open.beforeStop_ = holdBeforeStop;
     call.leaseUntilMs_ =
-      LeaseUntil(lastHold ? settings_.maxLease_ : kWorkerLease, aNow);
-    if (!known_ || lastHold) {
+      LeaseUntil(holdBeforeStop ? settings_.maxLease_ : kWorkerLease, aNow);
+    if (!runsKnown_ || holdBeforeStop) {
       call.wait_ = Millis(0);
     }
   }
-  stopHoldSent_ = stopHoldSent_ || lastHold;
-  holding_ = true;
+  stopHoldSent_ = stopHoldSent_ || holdBeforeStop;
+  holdInFlight_ = true;
   call.head_ = Head(std::move(open), call.wait_ + kHoldTimeout, aNow);
   aCalls.emplace_back(std::move(call));
 }
@@ -346,8 +348,8 @@
   if (!until.has_value()) {
     return false;
   }
-  OpenCall open;
-  open.kind_ = OpenCall::Kind::Start;
+  CallInFlight open;
+  open.kind_ = CallInFlight::Kind::Start;
   open.key_ = aKey;
   open.workerId_ = facts_.id_;
   StartCall call;
@@ -362,14 +364,14 @@
 WorkerKeeper::AddOrders(std::vector<WorkerCall>& aCalls, Instant aNow)
 {
   for (auto& [key, run] : runs_) {
-    if (openOrders_ >= kMaxOpenOrders) {
+    if (ordersInFlight_ >= kMaxOrdersInFlight) {
       return;
     }
     if (run.phase_ != Phase::Starting && !run.stopAnswered_ &&
-        run.pace_ != run.paceTaken_ && !run.pacing_ &&
+        run.pace_ != run.appliedPace_ && !run.paceCallInFlight_ &&
         aNow >= run.nextCallAt_) {
-      OpenCall open;
-      open.kind_ = OpenCall::Kind::Pace;
+      CallInFlight open;
+      open.kind_ = CallInFlight::Kind::Pace;
       open.key_ = key;
       open.workerId_ = facts_.id_;
       open.pace_ = run.pace_;
@@ -377,28 +379,28 @@
       call.order_ = { key.first, key.second, run.pace_ };
       call.head_ = Head(std::move(open), kOrderTimeout, aNow);
       aCalls.emplace_back(std::move(call));
-      run.pacing_ = true;
-      ++openOrders_;
+      run.paceCallInFlight_ = true;
+      ++ordersInFlight_;
     }
-    if (run.calling_ || aNow < run.nextCallAt_) {
+    if (run.callInFlight_ || aNow < run.nextCallAt_) {
       continue;
     }
     if (run.phase_ == Phase::Starting) {
       if (AddStart(aCalls, key, run, aNow)) {
-        run.calling_ = true;
-        ++openOrders_;
+        run.callInFlight_ = true;
+        ++ordersInFlight_;
       }
     } else if (run.phase_ == Phase::Stopping && !run.stopAnswered_) {
-      OpenCall open;
-      open.kind_ = OpenCall::Kind::Stop;
+      CallInFlight open;
+      open.kind_ = CallInFlight::Kind::Stop;
       open.key_ = key;
       open.workerId_ = facts_.id_;
       StopCall call;
       call.order_ = { key.first, key.second };
       call.head_ = Head(std::move(open), kOrderTimeout, aNow);
       aCalls.emplace_back(std::move(call));
-      run.calling_ = true;
-      ++openOrders_;
+      run.callInFlight_ = true;
+      ++ordersInFlight_;
     }
   }
 }
@@ -412,9 +414,9 @@
  * the meantime.
  */
 std::optional<StartRefusal>
-WorkerKeeper::WhyTakeBack(const LocalRun& aRun, Instant aNow) const
+WorkerKeeper::WithdrawalReason(const LocalRun& aRun, Instant aNow) const
 {
-  if (aRun.phase_ != Phase::Starting || aRun.calling_) {
+  if (aRun.phase_ != Phase::Starting || aRun.callInFlight_) {
     return std::nullopt;
   }
   if (facts_.draining_) {
@@ -427,15 +429,16 @@
 }
 
 void
-WorkerKeeper::TakeBackStarts(Instant aNow)
+WorkerKeeper::WithdrawStarts(Instant aNow)
 {
   for (auto entry = runs_.begin(); entry != runs_.end();) {
-    const std::optional<StartRefusal> why = WhyTakeBack(entry->second, aNow);
+    const std::optional<StartRefusal> why =
+      WithdrawalReason(entry->second, aNow);
     if (!why.has_value()) {
       ++entry;
       continue;
     }
-    entry = GiveBack(entry, *why);
+    entry = WithdrawStart(entry, *why);
   }
 }
 
@@ -449,20 +452,20 @@
  * running nor as ended for the maximum duration of a stop.
  */
 WorkerKeeper::Runs::iterator
-WorkerKeeper::GiveBack(Runs::iterator aEntry, StartRefusal aWhy)
+WorkerKeeper::WithdrawStart(Runs::iterator aEntry, StartRefusal aWhy)
 {
   LocalRun& run = aEntry->second;
-  if (run.doubted_) {
+  if (run.startOutcomeUnknown_) {
     run.phase_ = Phase::Stopping;
     run.refusal_ = aWhy;
     return std::next(aEntry);
   }
-  return Refuse(aEntry, aWhy);
+  return RefuseStart(aEntry, aWhy);
 }
 
 /** Reports to the leader that the run did not start; returns the next run. */
 WorkerKeeper::Runs::iterator
-WorkerKeeper::Refuse(Runs::iterator aEntry, StartRefusal aWhy)
+WorkerKeeper::RefuseStart(Runs::iterator aEntry, StartRefusal aWhy)
 {
   refused_.push_back({ aEntry->first.first, aEntry->first.second, aWhy });
   reportDue_ = true;
@@ -475,13 +478,13 @@
   CheckLeases(aNow);
   std::vector<WorkerCall> calls;
   if (facts_.id_.empty()) {
-    AddKnock(calls, aNow);
+    AddPortCheck(calls, aNow);
     return calls;
   }
-  TakeBackStarts(aNow);
+  WithdrawStarts(aNow);
   // Until the first hold is answered, the worker may still execute calls of an
   // earlier incarnation of this side; the hold raises the fence.
-  if (known_ && aNow >= settledAt_ && !stopping_) {
+  if (runsKnown_ && aNow >= earlierStopsEndAt_ && !stopping_) {
     AddOrders(calls, aNow);
   }
   AddHold(calls, aNow);
@@ -489,34 +492,34 @@
 }
 
 bool
-WorkerKeeper::AddKnock(std::vector<WorkerCall>& aCalls, Instant aNow)
+WorkerKeeper::AddPortCheck(std::vector<WorkerCall>& aCalls, Instant aNow)
 {
-  if (seenLife_ || known_ || holding_ || aNow < nextHoldAt_) {
+  if (incarnationSeen_ || runsKnown_ || holdInFlight_ || aNow < nextHoldAt_) {
     return false;
   }
-  OpenCall open;
-  open.kind_ = OpenCall::Kind::Knock;
+  CallInFlight open;
+  open.kind_ = CallInFlight::Kind::PortCheck;
   HoldCall call;
-  holding_ = true;
+  holdInFlight_ = true;
   call.head_ = Head(std::move(open), kHoldTimeout, aNow);
   aCalls.emplace_back(std::move(call));
   return true;
 }
 
 void
-WorkerKeeper::OnKnockAnswer(const CallAnswer& aAnswer, Instant aNow)
+WorkerKeeper::OnPortCheckAnswer(const CallAnswer& aAnswer, Instant aNow)
 {
   nextHoldAt_ = aNow + kHoldRetry;
   if (aAnswer.outcome_ != CallOutcome::NotDone) {
-    refusals_ = 0;
+    portRefusals_ = 0;
     return;
   }
   // The host has restarted and the worker has not, so nothing runs there.
   // Without this check a leader would wait for the end of all possible leases,
   // about ten seconds after a power failure.
-  if (++refusals_ >= kRefusalsOfNothing) {
-    known_ = true;
-    settledAt_ = aNow;
+  if (++portRefusals_ >= kRefusalsWithoutWorker) {
+    runsKnown_ = true;
+    earlierStopsEndAt_ = aNow;
     reportDue_ = true;
   }
 }
@@ -525,21 +528,21 @@
 WorkerKeeper::CheckLeases(Instant aNow)
 {
   const bool answers =
-    known_ && !facts_.id_.empty() && aNow - lastAnswerAt_ < kSilence;
+    runsKnown_ && !facts_.id_.empty() && aNow - lastAnswerAt_ < kAnswerTimeout;
   if (answers != facts_.answers_) {
     facts_.answers_ = answers;
     reportDue_ = true;
   }
-  if (answers || aNow <= leasesOverAt_) {
+  if (answers || aNow <= leasesExpireAt_) {
     return;
   }
   // All leases of the unresponsive worker have expired by now.
   if (leaving_) {
-    EndLife();
+    EndIncarnation();
   } else if (!runs_.empty()) {
-    ForgetRuns();
+    RemoveAllRuns();
   }
-  known_ = known_ || facts_.id_.empty();
+  runsKnown_ = runsKnown_ || facts_.id_.empty();
 }
 
 void
@@ -551,57 +554,57 @@
   if (found == calls_.end()) {
     return;
   }
-  const OpenCall call = found->second;
+  const CallInFlight call = found->second;
   calls_.erase(found);
   if (aAnswer.outcome_ == CallOutcome::Fenced) {
-    fence_ += kFenceJump;
+    fence_ += kFenceIncrement;
   }
   const bool current = call.workerId_ == facts_.id_;
   if (current && aAnswer.clockMs_.has_value()) {
     clockMs_ = *aAnswer.clockMs_;
     clockReadAt_ = aNow;
     lastAnswerAt_ = aNow;
-    renewUntil_ = aNow + kRenewUnanswered;
+    renewUntil_ = aNow + kRenewalTimeout;
   }
   switch (call.kind_) {
-    case OpenCall::Kind::Start:
-      --openOrders_;
+    case CallInFlight::Kind::Start:
+      --ordersInFlight_;
       OnStartAnswer(call, aAnswer, aNow);
       break;
-    case OpenCall::Kind::Stop:
-      --openOrders_;
+    case CallInFlight::Kind::Stop:
+      --ordersInFlight_;
       OnStopAnswer(call, aAnswer, aNow);
       break;
-    case OpenCall::Kind::Pace: {
-      --openOrders_;
+    case CallInFlight::Kind::Pace: {
+      --ordersInFlight_;
       const auto run = runs_.find(call.key_);
       if (run != runs_.end()) {
-        run->second.pacing_ = false;
+        run->second.paceCallInFlight_ = false;
         if (aAnswer.outcome_ == CallOutcome::Accepted) {
-          run->second.paceTaken_ = call.pace_;
+          run->second.appliedPace_ = call.pace_;
         } else {
           run->second.nextCallAt_ = aNow + kOrderRetry;
         }
       }
       break;
     }
-    case OpenCall::Kind::Hold:
-      holding_ = false;
+    case CallInFlight::Kind::Hold:
+      holdInFlight_ = false;
       OnHoldAnswer(call, aAnswer, aNow);
       break;
-    case OpenCall::Kind::Knock:
-      holding_ = false;
-      OnKnockAnswer(aAnswer, aNow);
+    case CallInFlight::Kind::PortCheck:
+      holdInFlight_ = false;
+      OnPortCheckAnswer(aAnswer, aNow);
       break;
-    case OpenCall::Kind::Probe:
-      holding_ = false;
+    case CallInFlight::Kind::Probe:
+      holdInFlight_ = false;
       OnProbeAnswer(call, aAnswer, aNow);
       break;
   }
 }
 
 void
-WorkerKeeper::OnStartAnswer(const OpenCall& aCall,
+WorkerKeeper::OnStartAnswer(const CallInFlight& aCall,
                             const CallAnswer& aAnswer,
                             Instant aNow)
 {
@@ -610,7 +613,7 @@
     return;
   }
   LocalRun& run = found->second;
-  run.calling_ = false;
+  run.callInFlight_ = false;
   run.nextCallAt_ = aNow;
   StartRefusal why = StartRefusal::Other;
   switch (aAnswer.outcome_) {
@@ -619,14 +622,15 @@
         run.phase_ = Phase::Running;
       }
       run.answeredAt_ = aNow;
-      newsWaits_ = true;
+      deferredReportDue_ = true;
       return;
     case CallOutcome::Doubt:
     case CallOutcome::Fenced:
     case CallOutcome::Late:
     case CallOutcome::WrongLife:
       // The start is retried; the next hold detects a wrong incarnation.
-      run.doubted_ = run.doubted_ || aAnswer.outcome_ == CallOutcome::Doubt;
+      run.startOutcomeUnknown_ =
+        run.startOutcomeUnknown_ || aAnswer.outcome_ == CallOutcome::Doubt;
       // The delay counts from the time of the call, so that a worker that
       // closes each connection at once is not called again at once.
       run.nextCallAt_ = std::max(aNow, aCall.sentAt_ + kOrderRetry);
@@ -649,11 +653,11 @@
     run.answeredAt_ = aNow;
     return;
   }
-  GiveBack(found, why);
+  WithdrawStart(found, why);
 }
 
 void
-WorkerKeeper::OnStopAnswer(const OpenCall& aCall,
+WorkerKeeper::OnStopAnswer(const CallInFlight& aCall,
                            const CallAnswer& aAnswer,
                            Instant aNow)
 {
@@ -662,10 +666,10 @@
     return;
   }
   LocalRun& run = found->second;
-  run.calling_ = false;
-  const bool taken = aAnswer.outcome_ == CallOutcome::Accepted ||
-                     aAnswer.outcome_ == CallOutcome::Old;
-  if (!taken) {
+  run.callInFlight_ = false;
+  const bool accepted = aAnswer.outcome_ == CallOutcome::Accepted ||
+                        aAnswer.outcome_ == CallOutcome::Old;
+  if (!accepted) {
     run.nextCallAt_ = aNow + kOrderRetry;
     return;
   }
@@ -676,43 +680,43 @@
 }
 
 void
-WorkerKeeper::OnHoldAnswer(const OpenCall& aCall,
+WorkerKeeper::OnHoldAnswer(const CallInFlight& aCall,
                            const CallAnswer& aAnswer,
                            Instant aNow)
 {
-  stopHoldDone_ = stopHoldDone_ || aCall.last_;
+  stopHoldDone_ = stopHoldDone_ || aCall.beforeStop_;
   if (aCall.workerId_ != facts_.id_) {
     nextHoldAt_ = aNow;
     return;
   }
   if (aAnswer.outcome_ == CallOutcome::WrongLife && !candidate_.has_value()) {
     // Another incarnation answers at this address, so this one has ended.
-    EndLife();
+    EndIncarnation();
     return;
   }
   if (aAnswer.outcome_ == CallOutcome::NotDone && leaving_) {
-    EndLife();
+    EndIncarnation();
     return;
   }
   if (aAnswer.outcome_ != CallOutcome::Accepted) {
     nextHoldAt_ = aNow + kHoldRetry;
     return;
   }
-  if (!known_) {
-    settledAt_ =
-      inherited_ ? aNow + settings_.stopTimeout_ + kStopMargin : aNow;
+  if (!runsKnown_) {
+    earlierStopsEndAt_ =
+      predatesSide_ ? aNow + settings_.stopTimeout_ + kStopMargin : aNow;
   }
-  known_ = true;
+  runsKnown_ = true;
   measuredAt_ = aNow;
-  TakeRuns(aCall, aAnswer, aNow);
-  newsWaits_ = newsWaits_ || aNow < watchUntil_;
-  nextHoldAt_ = HasUnstoredEnds() ? aNow + kUnstoredPause : aNow;
+  ApplyRunLists(aCall, aAnswer, aNow);
+  deferredReportDue_ = deferredReportDue_ || aNow < highFrequencyUntil_;
+  nextHoldAt_ = HasUnstoredEnds() ? aNow + kUnstoredDelay : aNow;
 }
 
 void
-WorkerKeeper::TakeRuns(const OpenCall& aCall,
-                       const CallAnswer& aAnswer,
-                       Instant aNow)
+WorkerKeeper::ApplyRunLists(const CallInFlight& aCall,
+                            const CallAnswer& aAnswer,
+                            Instant aNow)
 {
   std::set<RunKey> listed;
   for (const RunFact& fact : aAnswer.runs_) {
@@ -737,13 +741,13 @@
   if (aAnswer.endsCut_) {
     return;
   }
-  ForgetMissing(aCall, listed, aNow);
+  RemoveMissingRuns(aCall, listed, aNow);
 }
 
 void
-WorkerKeeper::ForgetMissing(const OpenCall& aCall,
-                            const std::set<RunKey>& aListed,
-                            Instant aNow)
+WorkerKeeper::RemoveMissingRuns(const CallInFlight& aCall,
+                                const std::set<RunKey>& aListed,
+                                Instant aNow)
 {
   // A run that the worker does not list in an answer to a hold sent after the
   // run's last order was answered may still be stopping. Its resources stay
@@ -751,8 +755,9 @@
   // elsewhere while it still runs, and its resources would be assigned twice.
   for (auto entry = runs_.begin(); entry != runs_.end();) {
     LocalRun& run = entry->second;
-    const bool settled = run.phase_ == Phase::Running || run.stopAnswered_;
-    const bool missing = settled && !run.calling_ &&
+    const bool ordersComplete =
+      run.phase_ == Phase::Running || run.stopAnswered_;
+    const bool missing = ordersComplete && !run.callInFlight_ &&
                          run.answeredAt_ < aCall.sentAt_ &&
                          !aListed.contains(entry->first);
     if (!missing) {
@@ -766,7 +771,7 @@
       continue;
     }
     if (run.refusal_.has_value()) {
-      entry = Refuse(entry, *run.refusal_);
+      entry = RefuseStart(entry, *run.refusal_);
       continue;
     }
     entry = runs_.erase(entry);
@@ -775,7 +780,7 @@
 }
 
 void
-WorkerKeeper::OnProbeAnswer(const OpenCall& aCall,
+WorkerKeeper::OnProbeAnswer(const CallInFlight& aCall,
                             const CallAnswer& aAnswer,
                             Instant aNow)
 {
@@ -784,11 +789,11 @@
     return;
   }
   if (aAnswer.outcome_ == CallOutcome::Accepted) {
-    BeginLife(*candidate_, aNow);
+    BeginIncarnation(*candidate_, aNow);
     return;
   }
   if (aAnswer.outcome_ == CallOutcome::WrongLife) {
-    pastLives_.insert(aCall.workerId_);
+    pastIncarnations_.insert(aCall.workerId_);
     candidate_.reset();
     return;
   }
@@ -801,13 +806,15 @@
   if (!linked_ || stopping_) {
     return std::nullopt;
   }
-  const bool unknown = (!known_ && aNow <= leasesOverAt_) || aNow < settledAt_;
-  const Millis spacing = newsWaits_ ? kReportSpacing : kReportPeriod;
-  if (unknown || (!reportDue_ && aNow - reportedAt_ < spacing)) {
+  const bool unknown =
+    (!runsKnown_ && aNow <= leasesExpireAt_) || aNow < earlierStopsEndAt_;
+  const Millis interval =
+    deferredReportDue_ ? kDeferredReportInterval : kReportPeriod;
+  if (unknown || (!reportDue_ && aNow - reportedAt_ < interval)) {
     return std::nullopt;
   }
   reportDue_ = false;
-  newsWaits_ = false;
+  deferredReportDue_ = false;
   reportedAt_ = aNow;
   FleetReport report;
   report.clockMicros_ =
--- a/Source/Process/WorkerKeeper.h
+++ b/Source/Process/WorkerKeeper.h
@@ -197,9 +197,9 @@
     /** Time from which no start call of this run is sent. */
     Instant startUntil_;
     /** A start or stop call of this run is in flight. */
-    bool calling_ = false;
+    bool callInFlight_ = false;
     /** A start call had no answer, so the worker may execute it late. */
-    bool doubted_ = false;
+    bool startOutcomeUnknown_ = false;
     /** Reason to refuse the start unless the worker lists the run after its
      * stop. */
     std::optional<StartRefusal> refusal_;
@@ -214,15 +214,15 @@
     std::uint32_t percent_ = 0;
     std::uint32_t measure_ = 0;
     std::uint32_t pace_ = 100;
-    std::uint32_t paceTaken_ = 100;
-    bool pacing_ = false;
+    std::uint32_t appliedPace_ = 100;
+    bool paceCallInFlight_ = false;
   };
 
   using RunKey = std::pair<std::string, std::uint32_t>;
   using Runs = std::map<RunKey, LocalRun>;
 
   /** Call without an answer so far. */
-  struct OpenCall
+  struct CallInFlight
   {
     enum class Kind : std::uint8_t
     {
@@ -233,7 +233,7 @@
       /** Hold that checks whether a new incarnation of the worker runs. */
       Probe,
       /** Hold that checks whether any worker listens at the address. */
-      Knock,
+      PortCheck,
     };
     Kind kind_ = Kind::Hold;
     RunKey key_;
@@ -241,44 +241,46 @@
     std::uint32_t pace_ = 0;
     Instant sentAt_;
     /** Last lease extension before a planned stop. */
-    bool last_ = false;
+    bool beforeStop_ = false;
   };
 
   std::int64_t WorkerClock(Instant aNow) const;
   std::optional<std::int64_t> LeaseUntil(Millis aLease, Instant aNow);
-  CallHead Head(OpenCall aCall, Millis aTimeout, Instant aNow);
+  CallHead Head(CallInFlight aCall, Millis aTimeout, Instant aNow);
   void AddHold(std::vector<WorkerCall>& aCalls, Instant aNow);
-  void TakeBackStarts(Instant aNow);
-  std::optional<StartRefusal> WhyTakeBack(const LocalRun& aRun,
-                                          Instant aNow) const;
-  Runs::iterator GiveBack(Runs::iterator aEntry, StartRefusal aWhy);
-  Runs::iterator Refuse(Runs::iterator aEntry, StartRefusal aWhy);
+  void WithdrawStarts(Instant aNow);
+  std::optional<StartRefusal> WithdrawalReason(const LocalRun& aRun,
+                                               Instant aNow) const;
+  Runs::iterator WithdrawStart(Runs::iterator aEntry, StartRefusal aWhy);
+  Runs::iterator RefuseStart(Runs::iterator aEntry, StartRefusal aWhy);
   void AddOrders(std::vector<WorkerCall>& aCalls, Instant aNow);
   bool AddStart(std::vector<WorkerCall>& aCalls,
                 const RunKey& aKey,
                 LocalRun& aRun,
                 Instant aNow);
-  void OnStartAnswer(const OpenCall& aCall,
+  void OnStartAnswer(const CallInFlight& aCall,
                      const CallAnswer& aAnswer,
                      Instant aNow);
-  void OnStopAnswer(const OpenCall& aCall,
+  void OnStopAnswer(const CallInFlight& aCall,
                     const CallAnswer& aAnswer,
                     Instant aNow);
-  void OnHoldAnswer(const OpenCall& aCall,
+  void OnHoldAnswer(const CallInFlight& aCall,
                     const CallAnswer& aAnswer,
                     Instant aNow);
-  bool AddKnock(std::vector<WorkerCall>& aCalls, Instant aNow);
-  void OnKnockAnswer(const CallAnswer& aAnswer, Instant aNow);
-  void OnProbeAnswer(const OpenCall& aCall,
+  bool AddPortCheck(std::vector<WorkerCall>& aCalls, Instant aNow);
+  void OnPortCheckAnswer(const CallAnswer& aAnswer, Instant aNow);
+  void OnProbeAnswer(const CallInFlight& aCall,
                      const CallAnswer& aAnswer,
                      Instant aNow);
-  void TakeRuns(const OpenCall& aCall, const CallAnswer& aAnswer, Instant aNow);
-  void ForgetMissing(const OpenCall& aCall,
-                     const std::set<RunKey>& aListed,
+  void ApplyRunLists(const CallInFlight& aCall,
+                     const CallAnswer& aAnswer,
                      Instant aNow);
-  void BeginLife(const WorkerAnnouncement& aAnnouncement, Instant aNow);
-  void EndLife();
-  void ForgetRuns();
+  void RemoveMissingRuns(const CallInFlight& aCall,
+                         const std::set<RunKey>& aListed,
+                         Instant aNow);
+  void BeginIncarnation(const WorkerAnnouncement& aAnnouncement, Instant aNow);
+  void EndIncarnation();
+  void RemoveAllRuns();
   void CheckLeases(Instant aNow);
   bool HasUnstoredEnds() const;
   /** Returns how long the next hold may wait for an end. */
@@ -291,47 +293,47 @@
   /** Time until which leases are renewed without an answer of the worker. */
   Instant renewUntil_;
   /** End of high-frequency reporting, as requested by the leader. */
-  Instant watchUntil_;
+  Instant highFrequencyUntil_;
   Instant lastOrders_;
   std::uint64_t ordersSeen_ = 0;
   WorkerDescription facts_;
   std::uint64_t sequence_ = 0;
   std::optional<WorkerAnnouncement> candidate_;
   /** Past incarnations of the worker, whose late announcements are ignored. */
-  std::set<std::string> pastLives_;
+  std::set<std::string> pastIncarnations_;
   std::int64_t clockMs_ = 0;
   Instant clockReadAt_;
   Instant lastAnswerAt_;
   /** Time by which stops ordered by an earlier incarnation of this side are
    * complete. */
-  Instant settledAt_;
+  Instant earlierStopsEndAt_;
   /** Latest possible end of all leases that were requested. */
-  Instant leasesOverAt_;
+  Instant leasesExpireAt_;
   Runs runs_;
   std::map<std::uint64_t, EndFact> ends_;
   std::uint64_t endsStored_ = 0;
   std::uint64_t endsReported_ = 0;
   std::vector<RefusedRun> refused_;
-  std::map<std::uint64_t, OpenCall> calls_;
+  std::map<std::uint64_t, CallInFlight> calls_;
   std::uint64_t nextCall_ = 1;
-  std::size_t openOrders_ = 0;
+  std::size_t ordersInFlight_ = 0;
   Instant nextHoldAt_;
   Instant reportedAt_;
   /** Time of the last list of runs from the worker. */
   Instant measuredAt_;
   /** Consecutive refusals of the worker's port before any incarnation was
    * observed. */
-  std::uint32_t refusals_ = 0;
+  std::uint32_t portRefusals_ = 0;
   /** Whether the runs of the worker are known: it has answered a hold in its
    * current incarnation and in that of the side, or no worker exists. */
-  bool known_ = false;
+  bool runsKnown_ = false;
   /** Whether the worker's incarnation began before that of this side. */
-  bool inherited_ = true;
-  bool seenLife_ = false;
-  bool holding_ = false;
+  bool predatesSide_ = true;
+  bool incarnationSeen_ = false;
+  bool holdInFlight_ = false;
   bool reportDue_ = false;
-  /** A report is due after kReportSpacing. */
-  bool newsWaits_ = false;
+  /** A report is due after kDeferredReportInterval. */
+  bool deferredReportDue_ = false;
   bool linked_ = false;
   bool stopping_ = false;
   /** The worker has reported that it is about to exit. */
--- a/Tests/Fleet/LeaderLeaseTest.cxx
+++ b/Tests/Fleet/LeaderLeaseTest.cxx
@@ -8,7 +8,7 @@
 namespace {
 
 LeaderLease
-Make(const std::string& aNode)
+MakeLease(const std::string& aNode)
 {
   return LeaderLease({ aNode, aNode + "-1", aNode + ":1" });
 }
@@ -33,7 +33,10 @@
 /** Executes the steps of the lease from aFrom until aTo; the table always
  * answers. */
 void
-Play(LeaderLease& aLease, Table& aTable, std::int64_t aFrom, std::int64_t aTo)
+RunSteps(LeaderLease& aLease,
+         Table& aTable,
+         std::int64_t aFrom,
+         std::int64_t aTo)
 {
   for (std::int64_t now = aFrom; now < aTo; now += 50) {
     switch (aLease.Next(At(now))) {
@@ -53,164 +56,164 @@
 
 }
 
-Test(LeaderLease, FirstOneLeadsAndOthersFollow)
+Test(LeaderLease, FirstEntryLeadsAndOthersFollow)
 {
   Table table;
-  LeaderLease first = Make("a");
-  LeaderLease second = Make("b");
-  Play(first, table, 1000, 2000);
-  Play(second, table, 1000, 2000);
-  cr_assert(first.Leads(At(2000)));
+  LeaderLease first = MakeLease("a");
+  LeaderLease second = MakeLease("b");
+  RunSteps(first, table, 1000, 2000);
+  RunSteps(second, table, 1000, 2000);
+  cr_assert(first.IsLeader(At(2000)));
   cr_assert_not(second.Holds());
   cr_assert_eq(second.Leader().node_, "a");
 }
 
 // Guards against a leader that is frozen for some seconds and still leads on
 // resume, although another entry has taken over.
-Test(LeaderLease, FrozenLeaderLeadsNoMoreWhenItWakes)
+Test(LeaderLease, FrozenLeaderDoesNotLeadOnResume)
 {
   Table table;
-  LeaderLease first = Make("a");
-  LeaderLease second = Make("b");
-  Play(first, table, 1000, 2000);
-  Play(second, table, 1000, 9000);
-  cr_assert(second.Leads(At(9000)));
-  cr_assert_not(first.Leads(At(9000)));
+  LeaderLease first = MakeLease("a");
+  LeaderLease second = MakeLease("b");
+  RunSteps(first, table, 1000, 2000);
+  RunSteps(second, table, 1000, 9000);
+  cr_assert(second.IsLeader(At(9000)));
+  cr_assert_not(first.IsLeader(At(9000)));
   cr_assert_eq(second.Epoch(), 2);
-  Play(first, table, 9000, 10000);
+  RunSteps(first, table, 9000, 10000);
   cr_assert_not(first.Holds());
 }
 
 // Guards against two concurrent leaders, for a leader that freezes at any time.
-Test(LeaderLease, NeverTwoAtOnce)
+Test(LeaderLease, NoTwoConcurrentLeaders)
 {
   for (std::int64_t freeze = 1500; freeze < 6000; freeze += 130) {
     Table table;
-    LeaderLease first = Make("a");
-    LeaderLease second = Make("b");
+    LeaderLease first = MakeLease("a");
+    LeaderLease second = MakeLease("b");
     for (std::int64_t now = 1000; now < 16000; now += 50) {
       if (now < freeze) {
-        Play(first, table, now, now + 50);
+        RunSteps(first, table, now, now + 50);
       }
-      Play(second, table, now, now + 50);
-      cr_assert_not(first.Leads(At(now)) && second.Leads(At(now)));
+      RunSteps(second, table, now, now + 50);
+      cr_assert_not(first.IsLeader(At(now)) && second.IsLeader(At(now)));
     }
-    cr_assert(second.Leads(At(15999)));
+    cr_assert(second.IsLeader(At(15999)));
   }
 }
 
 // Guards against a change of epoch after an outage of the table. During the
 // outage no entry can take over, so the leader continues under its epoch.
-Test(LeaderLease, OutageOfTheTableChangesNoLeader)
+Test(LeaderLease, TableOutageDoesNotChangeLeader)
 {
   Table table;
-  LeaderLease first = Make("a");
-  Play(first, table, 1000, 2000);
+  LeaderLease first = MakeLease("a");
+  RunSteps(first, table, 1000, 2000);
   for (std::int64_t now = 2000; now < 9000; now += 50) {
     if (first.Next(At(now)) != LeaseStep::Nothing) {
       first.OnNotWritten(At(now));
     }
   }
-  cr_assert_not(first.Leads(At(9000)));
+  cr_assert_not(first.IsLeader(At(9000)));
   cr_assert(first.Holds());
-  Play(first, table, 9000, 10000);
-  cr_assert(first.Leads(At(10000)));
+  RunSteps(first, table, 9000, 10000);
+  cr_assert(first.IsLeader(At(10000)));
   cr_assert_eq(first.Epoch(), 1);
 }
 
 // Guards against a takeover that is not detected, because its write takes
 // effect and the answer is lost.
-Test(LeaderLease, TakeoverWithoutAnAnswerIsFoundByReading)
+Test(LeaderLease, TakeoverWithoutAnswerIsDetectedByRead)
 {
   Table table;
-  LeaderLease lease = Make("a");
+  LeaderLease lease = MakeLease("a");
   cr_assert_eq(lease.Next(At(1000)), LeaseStep::Read);
   lease.OnRead(table.row_, At(1000), At(1000));
   cr_assert_eq(lease.Next(At(1000)), LeaseStep::Write);
   table.Write(lease, At(1000));
-  lease.OnDoubt(At(2000));
-  cr_assert_not(lease.Leads(At(2000)));
-  Play(lease, table, 2500, 3500);
-  cr_assert(lease.Leads(At(3500)));
+  lease.OnUnknownOutcome(At(2000));
+  cr_assert_not(lease.IsLeader(At(2000)));
+  RunSteps(lease, table, 2500, 3500);
+  cr_assert(lease.IsLeader(At(3500)));
 }
 
 Test(LeaderLease, PlannedStopHandsOverAtOnce)
 {
   Table table;
-  LeaderLease first = Make("a");
-  LeaderLease second = Make("b");
-  Play(first, table, 1000, 2000);
-  Play(second, table, 1000, 2000);
+  LeaderLease first = MakeLease("a");
+  LeaderLease second = MakeLease("b");
+  RunSteps(first, table, 1000, 2000);
+  RunSteps(second, table, 1000, 2000);
   first.StepDown();
-  cr_assert_not(first.Leads(At(2000)));
-  Play(first, table, 2000, 2200);
+  cr_assert_not(first.IsLeader(At(2000)));
+  RunSteps(first, table, 2000, 2200);
   cr_assert(first.SteppedDown());
-  Play(second, table, 2200, 3500);
-  cr_assert(second.Leads(At(3500)));
+  RunSteps(second, table, 2200, 3500);
+  cr_assert(second.IsLeader(At(3500)));
 }
 
 // Guards against a restarted leader that waits for its own old lease. No other
 // process listens at its address, so it can take over at once.
-Test(LeaderLease, RestartedLeaderTakesItsOwnPlace)
+Test(LeaderLease, RestartedLeaderReplacesItself)
 {
   Table table;
-  LeaderLease first = Make("a");
-  Play(first, table, 1000, 2000);
+  LeaderLease first = MakeLease("a");
+  RunSteps(first, table, 1000, 2000);
   LeaderLease again({ "a", "a-2", "a:1" });
-  Play(again, table, 2200, 2500);
-  cr_assert(again.Leads(At(2500)));
+  RunSteps(again, table, 2200, 2500);
+  cr_assert(again.IsLeader(At(2500)));
   cr_assert_eq(again.Epoch(), 2);
 }
 
 // Guards against a leader that alone has lost the table and keeps leading. It
 // yields to an entry that reaches the table and sends no more orders, unless
 // its own renewal is applied first.
-Test(LeaderLease, LeaderWithoutTheTableYieldsToOneThatHasIt)
+Test(LeaderLease, LeaderWithoutTableYieldsToEntryWithTable)
 {
   Table table;
-  LeaderLease first = Make("a");
-  LeaderLease second = Make("b");
-  Play(first, table, 1000, 2000);
-  Play(second, table, 1000, 2000);
+  LeaderLease first = MakeLease("a");
+  LeaderLease second = MakeLease("b");
+  RunSteps(first, table, 1000, 2000);
+  RunSteps(second, table, 1000, 2000);
   first.Yield(At(2000));
-  cr_assert_not(first.Leads(At(2000)));
+  cr_assert_not(first.IsLeader(At(2000)));
   second.OnYield(first.RowVersion(), At(2000));
-  Play(second, table, 2000, 2300);
-  cr_assert(second.Leads(At(2300)));
-  Play(first, table, 2300, 5000);
+  RunSteps(second, table, 2000, 2300);
+  cr_assert(second.IsLeader(At(2300)));
+  RunSteps(first, table, 2300, 5000);
   cr_assert_not(first.Holds());
 }
 
 // Guards against a leader on a host with an eighth of a processor, which falls
 // seconds behind after a power failure. It reaches the table first when all
 // hosts start within 0.3 s, and must lead only if there is no larger host.
-Test(LeaderLease, SmallHostLeavesAFreeLeaseToALargerOne)
+Test(LeaderLease, LargerHostAcquiresFreeLease)
 {
   Table table;
   LeaderLease small({ "a", "a-1", "a:1", 0.12 });
   LeaderLease large({ "b", "b-1", "b:1", 0.5 });
-  Play(small, table, 1000, 1300);
-  Play(large, table, 1300, 1400);
-  cr_assert(large.Leads(At(1400)));
-  Play(small, table, 1300, 2500);
-  cr_assert_not(small.Leads(At(2500)));
+  RunSteps(small, table, 1000, 1300);
+  RunSteps(large, table, 1300, 1400);
+  cr_assert(large.IsLeader(At(1400)));
+  RunSteps(small, table, 1300, 2500);
+  cr_assert_not(small.IsLeader(At(2500)));
 
   Table alone;
   LeaderLease only({ "c", "c-1", "c:1", 0.12 });
-  Play(only, alone, 1000, 2000);
-  cr_assert(only.Leads(At(2000)));
+  RunSteps(only, alone, 1000, 2000);
+  cr_assert(only.IsLeader(At(2000)));
 }
 
 // Guards against two leaders for half a second, and one task on two workers: an
 // unresponsive table makes the leader yield while its renewal is in flight. The
 // renewal succeeds, and the other entry must not use the earlier yield.
-Test(LeaderLease, RenewalUnderWayMakesAYieldVoid)
+Test(LeaderLease, RenewalInFlightInvalidatesYield)
 {
   Table table;
-  LeaderLease first = Make("a");
-  LeaderLease second = Make("b");
-  Play(first, table, 1000, 2000);
-  Play(second, table, 1000, 2000);
+  LeaderLease first = MakeLease("a");
+  LeaderLease second = MakeLease("b");
+  RunSteps(first, table, 1000, 2000);
+  RunSteps(second, table, 1000, 2000);
   std::int64_t now = 2000;
   while (first.Next(At(now)) != LeaseStep::Write) {
     now += 50;
@@ -219,36 +222,37 @@
   first.Yield(At(now));
   cr_assert(table.Write(first, At(now)));
   second.OnYield(yielded, At(now));
-  Play(second, table, now, now + 300);
+  RunSteps(second, table, now, now + 300);
   first.OnWritten(table.row_.version_, At(now + 300));
-  cr_assert_not(first.Leads(At(now + 300)) && second.Leads(At(now + 300)));
-  cr_assert(first.Leads(At(now + 300)) || second.Leads(At(now + 300)));
+  cr_assert_not(first.IsLeader(At(now + 300)) &&
+                second.IsLeader(At(now + 300)));
+  cr_assert(first.IsLeader(At(now + 300)) || second.IsLeader(At(now + 300)));
 }
 
 // Guards against a leader that never renews and is never replaced, because
 // repeated yields postpone its renewal.
-Test(LeaderLease, RepeatedYieldsDoNotPutTheRenewalOff)
+Test(LeaderLease, RepeatedYieldsDoNotPostponeRenewal)
 {
   Table table;
-  LeaderLease first = Make("a");
-  Play(first, table, 1000, 2000);
+  LeaderLease first = MakeLease("a");
+  RunSteps(first, table, 1000, 2000);
   first.Yield(At(2000));
   for (std::int64_t now = 2000; now < 5000; now += 100) {
-    if (!first.Leads(At(now))) {
+    if (!first.IsLeader(At(now))) {
       first.Yield(At(now));
     }
-    Play(first, table, now, now + 100);
+    RunSteps(first, table, now, now + 100);
   }
-  cr_assert(first.Leads(At(5000)));
+  cr_assert(first.IsLeader(At(5000)));
 }
 
-Test(LeaderLease, YieldedLeaderGoesOnIfNobodyTookOver)
+Test(LeaderLease, YieldedLeaderContinuesWithoutTakeover)
 {
   Table table;
-  LeaderLease first = Make("a");
-  Play(first, table, 1000, 2000);
+  LeaderLease first = MakeLease("a");
+  RunSteps(first, table, 1000, 2000);
   first.Yield(At(2000));
-  Play(first, table, 2000, 5000);
-  cr_assert(first.Leads(At(5000)));
+  RunSteps(first, table, 2000, 5000);
+  cr_assert(first.IsLeader(At(5000)));
   cr_assert_eq(first.Epoch(), 1);
 }
--- a/Tests/Fleet/MemoryStore.cxx
+++ b/Tests/Fleet/MemoryStore.cxx
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr Millis kLook{ 5 };
+constexpr Millis kPollInterval{ 5 };
 
 Failure
-Away()
+Unavailable()
 {
   return NotRun(FailureKind::Refused, "The table is unavailable.");
 }
@@ -24,8 +24,8 @@
            const ChangesCallback& aCallback)
 {
   const MemoryTables& tables = MemoryTables::OfTest();
-  if (tables.away_) {
-    aCallback(Away());
+  if (tables.unavailable_) {
+    aCallback(Unavailable());
     return;
   }
   RowChanges changes = tables.Changes(aTable, aAfter);
@@ -33,10 +33,11 @@
     aCallback(std::move(changes));
     return;
   }
-  QTimer::singleShot(
-    kLook, QCoreApplication::instance(), [aTable, aAfter, aUntil, aCallback] {
-      WatchUntil(aTable, aAfter, aUntil, aCallback);
-    });
+  QTimer::singleShot(kPollInterval,
+                     QCoreApplication::instance(),
+                     [aTable, aAfter, aUntil, aCallback] {
+                       WatchUntil(aTable, aAfter, aUntil, aCallback);
+                     });
 }
 
 }
@@ -107,7 +108,7 @@
   MemoryTables& tables = MemoryTables::OfTest();
   Commit commit{ CommitOutcome::NotDone, 0 };
   Millis after(0);
-  if (!tables.away_) {
+  if (!tables.unavailable_) {
     commit = tables.Apply(aTransaction);
   }
   if (tables.losesAnswers_) {
@@ -128,8 +129,8 @@
 {
   (void)aDeadline;
   const MemoryTables& tables = MemoryTables::OfTest();
-  Result<RowPage> page = Away();
-  if (!tables.away_) {
+  Result<RowPage> page = Unavailable();
+  if (!tables.unavailable_) {
     page = tables.Page(aRange);
   }
   QTimer::singleShot(0,
@@ -146,7 +147,7 @@
                    ChangesCallback aCallback)
 {
   const Instant until = ReadMonotonicClock() + aWait;
-  QTimer::singleShot(kLook,
+  QTimer::singleShot(kPollInterval,
                      QCoreApplication::instance(),
                      [aTable, aAfter, until, callback = std::move(aCallback)] {
                        WatchUntil(aTable, aAfter, until, callback);
--- a/Tests/Fleet/MemoryStore.h
+++ b/Tests/Fleet/MemoryStore.h
@@ -19,7 +19,7 @@
   std::vector<Row> history_;
   std::uint64_t version_ = 0;
   /** The table is unavailable: calls are refused and have no effect. */
-  bool away_ = false;
+  bool unavailable_ = false;
   /** Writes take effect, but their answers are lost. */
   bool losesAnswers_ = false;
 
--- a/Tests/Fleet/ProcessFleet.cxx
+++ b/Tests/Fleet/ProcessFleet.cxx
@@ -56,9 +56,9 @@
                        std::function<void(const CallAnswer&)> aCallback)
 {
   const CallAnswer answer = At(address_).Take(aCall, ReadMonotonicClock());
-  constexpr Millis kWay{ 5 };
+  constexpr Millis kLatency{ 5 };
   QTimer::singleShot(
-    kWay,
+    kLatency,
     QCoreApplication::instance(),
     [answer, callback = std::move(aCallback)] { callback(answer); });
 }
@@ -197,7 +197,7 @@
 ProcessFleet::Leader()
 {
   const auto& rows = MemoryTables::OfTest().rows_;
-  const auto found = rows.find(LeadRowId());
+  const auto found = rows.find(LeaderRowId());
   if (found == rows.end()) {
     return {};
   }
@@ -224,9 +224,9 @@
 }
 
 bool
-ProcessFleet::Wait(const std::function<bool()>& aHolds)
+ProcessFleet::Wait(const std::function<bool()>& aCondition)
 {
-  return WaitInLoop(aHolds, Millis(60000));
+  return WaitInLoop(aCondition, Millis(60000));
 }
 
 HttpReply
@@ -284,7 +284,7 @@
 }
 
 void
-ProcessFleet::LeaveForGood(std::size_t aSide)
+ProcessFleet::LeavePermanently(std::size_t aSide)
 {
   left_.insert(aSide);
   Worker(aSide).gone_ = true;
--- a/Tests/Fleet/ProcessFleet.h
+++ b/Tests/Fleet/ProcessFleet.h
@@ -66,9 +66,9 @@
   /** Returns the name of the leading entry according to the table. */
   static std::string Leader();
 
-  /** Runs the event loop until aHolds() returns true; returns false after a
+  /** Runs the event loop until aCondition() returns true; returns false after a
    * minute. */
-  bool Wait(const std::function<bool()>& aHolds);
+  bool Wait(const std::function<bool()>& aCondition);
   /** Sends a caller's request and returns its status and body. */
   HttpReply Ask(std::size_t aEntry,
                 const std::string& aMethod,
@@ -82,7 +82,7 @@
   void StartSide(std::size_t aSide);
   /** Makes the side's worker leave and exit, and waits until the side has
    * handled that. */
-  void LeaveForGood(std::size_t aSide);
+  void LeavePermanently(std::size_t aSide);
   WorkerFake& Worker(std::size_t aSide);
   std::string SideName(std::size_t aSide) const;
   std::string SideLinks(std::size_t aSide) const;
--- a/Tests/Fleet/ProcessFleetTest.cxx
+++ b/Tests/Fleet/ProcessFleetTest.cxx
@@ -40,7 +40,7 @@
 
 }
 
-Test(ProcessFleet, JobGoesThroughEveryEntry)
+Test(ProcessFleet, JobCompletesThroughEveryEntry)
 {
   const Application application;
   ProcessFleet fleet(3, 2);
@@ -58,7 +58,7 @@
 
 // Guards against a task that runs again or a job that does not complete,
 // because entries are stopped while the fleet works.
-Test(ProcessFleet, WorkGoesOnWhenEntriesStopInTurn)
+Test(ProcessFleet, TasksRunOnceWhenEntriesStopInTurn)
 {
   const Application application;
   ProcessFleet fleet(3, 2);
@@ -79,7 +79,7 @@
 // Guards against tasks that run twice concurrently: the table applies the row
 // of a side's earlier incarnation late, and the leader reopens the link. Orders
 // sent before the side's first report would be treated as lost.
-Test(ProcessFleet, LateRowOfAFormerLifeStartsNothingTwice)
+Test(ProcessFleet, LateRowOfPastIncarnationStartsNoTaskTwice)
 {
   const Application application;
   ProcessFleet fleet(1, 1);
@@ -108,10 +108,10 @@
   const Application application;
   ProcessFleet fleet(2, 1);
   WarmUp(fleet);
-  MemoryTables::OfTest().away_ = true;
+  MemoryTables::OfTest().unavailable_ = true;
   cr_assert_eq(fleet.Ask(0, "POST", "refused", "1").status_, 503);
   cr_assert_eq(fleet.Ask(1, "POST", "refused", "1").status_, 503);
-  MemoryTables::OfTest().away_ = false;
+  MemoryTables::OfTest().unavailable_ = false;
   cr_assert_eq(fleet.Ask(0, "POST", "taken", "1").status_, 200);
   cr_assert(fleet.Completes(0, "taken"));
   cr_assert_eq(fleet.Ask(0, "GET", "refused").status_, 410);
@@ -120,7 +120,7 @@
 
 // Guards against a stored job that is reported as not accepted, because its
 // write takes effect and the answer is lost.
-Test(ProcessFleet, JobInDoubtIsNeverCalledRefused)
+Test(ProcessFleet, JobWithUnknownOutcomeIsNeverReportedRefused)
 {
   const Application application;
   ProcessFleet fleet(2, 1);
@@ -136,12 +136,12 @@
 // Guards against the row of a side whose worker has left and which was stopped.
 // If the row stays, the next leader defers all older work until that side can
 // have no lease any more.
-Test(ProcessFleet, LeavingSideTakesItsRowAlong)
+Test(ProcessFleet, LeavingSideRemovesItsRow)
 {
   const Application application;
   ProcessFleet fleet(1, 2);
   WarmUp(fleet);
-  fleet.LeaveForGood(0);
+  fleet.LeavePermanently(0);
   fleet.StopSide(0);
   const auto& rows = MemoryTables::OfTest().rows_;
   cr_assert_not(rows.contains(MemberRowId(fleet.SideName(0))));
@@ -153,7 +153,7 @@
 // acquires the lease of a lost leader if it is the first to read the lease,
 // which each entry does every 0.7 s, and must hand over once a larger entry is
 // available.
-Test(ProcessFleet, SmallHostHandsTheLeadToALargerOne)
+Test(ProcessFleet, SmallHostYieldsToLargerHost)
 {
   const Application application;
   constexpr double kSmall = 0.12;
@@ -179,12 +179,12 @@
 // restarts after a power failure and is lost again. If its side registers on
 // start, old work is deferred until the side can have no lease any more: it was
 // `started` at 35.3 s, and old work ran from 45 s on.
-Test(ProcessFleet, SideThatHasNoWorkerIsNotWaitedFor)
+Test(ProcessFleet, SideWithoutWorkerDoesNotRegister)
 {
   const Application application;
   ProcessFleet fleet(1, 2);
   WarmUp(fleet);
-  fleet.LeaveForGood(0);
+  fleet.LeavePermanently(0);
   fleet.StopSide(0);
   const RowId row = MemberRowId(fleet.SideName(0));
   const auto& rows = MemoryTables::OfTest().rows_;
@@ -192,8 +192,8 @@
   const std::size_t asked = fleet.Worker(0).calls_;
   fleet.StartSide(0);
   // The side has detected that no worker is running.
-  constexpr std::size_t kKnocks = 3;
+  constexpr std::size_t kPortChecks = 3;
   cr_assert(fleet.Wait(
-    [&fleet, asked] { return fleet.Worker(0).calls_ >= asked + kKnocks; }));
+    [&fleet, asked] { return fleet.Worker(0).calls_ >= asked + kPortChecks; }));
   cr_assert_not(rows.contains(row));
 }
--- a/Tests/Fleet/WorkerKeeperTest.cxx
+++ b/Tests/Fleet/WorkerKeeperTest.cxx
@@ -34,7 +34,7 @@
 
 template<typename Call>
 std::vector<Call>
-Only(const std::vector<WorkerCall>& aCalls)
+CallsOf(const std::vector<WorkerCall>& aCalls)
 {
   std::vector<Call> only;
   for (const WorkerCall& call : aCalls) {
@@ -55,9 +55,9 @@
 }
 
 /** Keeper with a linked leader and a worker that has answered. */
-struct Bench
+struct Fixture
 {
-  Bench()
+  Fixture()
     : keeper_({ Millis(10000), Millis(500), 7 }, At(10000))
   {
     keeper_.OnAnnounced(Announce("w1", 500, 1), At(10000));
@@ -72,7 +72,7 @@
                                      const std::vector<RunFact>& aRuns)
   {
     std::vector<WorkerCall> calls = keeper_.TakeCalls(At(aNow));
-    for (const HoldCall& hold : Only<HoldCall>(calls)) {
+    for (const HoldCall& hold : CallsOf<HoldCall>(calls)) {
       CallAnswer answer = Answer(CallOutcome::Accepted, aNow - 9500);
       answer.runs_ = aRuns;
       keeper_.OnAnswer(hold.head_.id_, answer, At(aNow));
@@ -80,7 +80,7 @@
     return calls;
   }
 
-  void Order(std::uint64_t aSequence, std::int64_t aNow)
+  void OrderStart(std::uint64_t aSequence, std::int64_t aNow)
   {
     FleetOrders orders = Orders("w1", aSequence, At(aNow));
     orders.starts_.push_back({ "j.0.0.0", 1, "payload", "", "" });
@@ -96,13 +96,13 @@
 
   /** Orders a start at 10.8 s whose call has no answer. The order expires, and
    * the worker answers a stop of the run at 19.31 s. */
-  void StopAStartInDoubt()
+  void StopStartWithUnknownOutcome()
   {
-    Order(2, 10800);
-    const auto starts = Only<StartCall>(AnswerHold(10800, {}));
+    OrderStart(2, 10800);
+    const auto starts = CallsOf<StartCall>(AnswerHold(10800, {}));
     AnswerHoldsUntil(10850, 19250);
     keeper_.OnAnswer(starts[0].head_.id_, CallAnswer(), At(19300));
-    const auto stops = Only<StopCall>(AnswerHold(19300, {}));
+    const auto stops = CallsOf<StopCall>(AnswerHold(19300, {}));
     cr_assert_eq(stops.size(), 1);
     keeper_.OnAnswer(
       stops[0].head_.id_, Answer(CallOutcome::Accepted, 9800), At(19310));
@@ -110,7 +110,7 @@
 
   /** Answers holds with empty lists until a stop must be complete; returns the
    * runs that were reported as refused. */
-  std::vector<RefusedRun> HoldUntilStopsAreOver(std::int64_t aFrom)
+  std::vector<RefusedRun> HoldUntilStopsComplete(std::int64_t aFrom)
   {
     std::vector<RefusedRun> refused;
     // A stop takes up to 500 ms, and its answer adds some latency.
@@ -131,16 +131,17 @@
 
 // Guards against a side that renews leases without a leader. A new leader
 // relies on the expiry of these leases before it starts the work elsewhere.
-Test(WorkerKeeper, LeasesNeverReachBeyondTheLeadersAuthority)
+Test(WorkerKeeper, LeasesNeverExceedLeaderAuthority)
 {
-  Bench bench;
+  Fixture fixture;
   for (std::int64_t now = 10710; now < 19500; now += 100) {
-    for (const HoldCall& hold : Only<HoldCall>(bench.AnswerHold(now, {}))) {
+    for (const HoldCall& hold :
+         CallsOf<HoldCall>(fixture.AnswerHold(now, {}))) {
       if (hold.leaseUntilMs_.has_value()) {
         // The worker's clock is 9500 ms behind and may be 2 % slow.
-        const double real =
+        const double realDuration =
           static_cast<double>(*hold.leaseUntilMs_ - (now - 9500)) / 0.98;
-        cr_assert_leq(static_cast<double>(now) + real, 10700 + 8000);
+        cr_assert_leq(static_cast<double>(now) + realDuration, 10700 + 8000);
       }
     }
   }
@@ -149,44 +150,45 @@
 // Guards against high-frequency reporting that is missing or does not end. A
 // side reports each answer, four per second, while tasks serve beside backfill,
 // and then once per second again, as a leader receives reports of 560 sides.
-Test(WorkerKeeper, CloseWatchReportsEachFigureUntilItsEnd)
+Test(WorkerKeeper, HighFrequencyReportingEndsOnTime)
 {
-  Bench bench;
+  Fixture fixture;
   FleetOrders orders = Orders("w1", 2, At(10800));
   orders.watchMicros_ = 1000000;
-  bench.keeper_.OnOrders(orders, At(10800));
+  fixture.keeper_.OnOrders(orders, At(10800));
   const std::vector<RunFact> runs{ { "j.0.0.0", 1, false, "", 100, 7 } };
   int close = 0;
-  int wide = 0;
+  int regular = 0;
   for (std::int64_t now = 10800; now < 13800; now += 250) {
-    for (const HoldCall& hold : Only<HoldCall>(bench.AnswerHold(now, runs))) {
+    for (const HoldCall& hold :
+         CallsOf<HoldCall>(fixture.AnswerHold(now, runs))) {
       cr_assert_eq(hold.wait_ <= kCloseWatch, now < 11800);
     }
-    if (bench.keeper_.TakeReport(At(now)).has_value()) {
-      ++(now < 11800 ? close : wide);
+    if (fixture.keeper_.TakeReport(At(now)).has_value()) {
+      ++(now < 11800 ? close : regular);
     }
   }
   cr_assert_eq(close, 4);
-  cr_assert_leq(wide, 2);
+  cr_assert_leq(regular, 2);
 }
 
 // Guards against runs that are never abandoned, which stopped a tracking feed
 // for the rest of the day. The worker is gone for good, and its side keeps
 // sending lease extensions that might still be executed.
-Test(WorkerKeeper, WorkerThatIsGoneForGoodIsGivenUp)
+Test(WorkerKeeper, RunsOfPermanentlyLostWorkerAreAbandoned)
 {
-  Bench bench;
+  Fixture fixture;
   const std::vector<RunFact> runs{ { "j.0.0.0", 1, false, "", 100, 7 } };
-  bench.AnswerHold(10800, runs);
-  cr_assert_eq(bench.keeper_.TakeReport(At(11800))->runs_.size(), 1);
+  fixture.AnswerHold(10800, runs);
+  cr_assert_eq(fixture.keeper_.TakeReport(At(11800))->runs_.size(), 1);
   std::size_t held = 1;
   for (std::int64_t now = 11900; now < 21500; now += 100) {
-    bench.keeper_.OnOrders(Orders("w1", 2, At(now)), At(now));
+    fixture.keeper_.OnOrders(Orders("w1", 2, At(now)), At(now));
     for (const HoldCall& hold :
-         Only<HoldCall>(bench.keeper_.TakeCalls(At(now)))) {
-      bench.keeper_.OnAnswer(hold.head_.id_, CallAnswer(), At(now + 50));
+         CallsOf<HoldCall>(fixture.keeper_.TakeCalls(At(now)))) {
+      fixture.keeper_.OnAnswer(hold.head_.id_, CallAnswer(), At(now + 50));
     }
-    if (const auto report = bench.keeper_.TakeReport(At(now))) {
+    if (const auto report = fixture.keeper_.TakeReport(At(now))) {
       held = report->runs_.size();
     }
     // The run must not be abandoned before its lease has expired.
@@ -197,15 +199,15 @@
 
 // Guards against leases that end three seconds too late after a suspension of
 // the host for three seconds, during which the worker's clock stops.
-Test(WorkerKeeper, SuspensionDoesNotStretchLeases)
+Test(WorkerKeeper, SuspensionDoesNotExtendLeases)
 {
-  Bench bench;
-  bench.keeper_.TakeCalls(At(10800));
-  bench.keeper_.OnSuspended(Millis(3000));
+  Fixture fixture;
+  fixture.keeper_.TakeCalls(At(10800));
+  fixture.keeper_.OnSuspended(Millis(3000));
   FleetOrders orders = Orders("w1", 2, At(13900));
   orders.starts_.push_back({ "j.0.0.0", 1, "payload", "", "" });
-  bench.keeper_.OnOrders(orders, At(13900));
-  const auto starts = Only<StartCall>(bench.keeper_.TakeCalls(At(13900)));
+  fixture.keeper_.OnOrders(orders, At(13900));
+  const auto starts = CallsOf<StartCall>(fixture.keeper_.TakeCalls(At(13900)));
   cr_assert_eq(starts.size(), 1);
   // The worker's clock is 9500 ms behind, and another 3000 ms since then.
   cr_assert_leq(starts[0].leaseUntilMs_, 13900 - 9500 - 3000 + 4500);
@@ -214,18 +216,18 @@
 // Guards against resources that are assigned twice after a start without an
 // answer. The worker may execute it seconds later, so the same run is ordered
 // again until its outcome is known.
-Test(WorkerKeeper, StartWithoutAnAnswerIsRepeatedUnderTheSameRun)
+Test(WorkerKeeper, StartWithoutAnswerIsRepeatedWithSameRun)
 {
-  Bench bench;
-  bench.Order(2, 10800);
-  auto starts = Only<StartCall>(bench.keeper_.TakeCalls(At(10800)));
+  Fixture fixture;
+  fixture.OrderStart(2, 10800);
+  auto starts = CallsOf<StartCall>(fixture.keeper_.TakeCalls(At(10800)));
   cr_assert_eq(starts.size(), 1);
-  bench.keeper_.OnAnswer(starts[0].head_.id_, CallAnswer(), At(11200));
-  const auto report = bench.keeper_.TakeReport(At(11700));
+  fixture.keeper_.OnAnswer(starts[0].head_.id_, CallAnswer(), At(11200));
+  const auto report = fixture.keeper_.TakeReport(At(11700));
   cr_assert(report.has_value());
   cr_assert_eq(report->runs_.size(), 1);
   cr_assert(report->runs_[0].starting_);
-  starts = Only<StartCall>(bench.keeper_.TakeCalls(At(11700)));
+  starts = CallsOf<StartCall>(fixture.keeper_.TakeCalls(At(11700)));
   cr_assert_eq(starts.size(), 1);
   cr_assert_eq(starts[0].order_.run_, 1);
 }
@@ -233,24 +235,24 @@
 // Guards against a refusal that is reported too early. The first start call has
 // no answer and may still be executed after the second is refused. Only a stop
 // prevents that, and only the lists after the stop show that it did not run.
-Test(WorkerKeeper, RefusalAfterADoubtIsReportedOnlyAfterAStop)
+Test(WorkerKeeper, RefusalAfterUnknownOutcomeIsReportedAfterStop)
 {
-  Bench bench;
-  bench.Order(2, 10800);
-  auto starts = Only<StartCall>(bench.AnswerHold(10800, {}));
-  bench.keeper_.OnAnswer(starts[0].head_.id_, CallAnswer(), At(11200));
-  starts = Only<StartCall>(bench.AnswerHold(11200, {}));
-  bench.keeper_.OnAnswer(
+  Fixture fixture;
+  fixture.OrderStart(2, 10800);
+  auto starts = CallsOf<StartCall>(fixture.AnswerHold(10800, {}));
+  fixture.keeper_.OnAnswer(starts[0].head_.id_, CallAnswer(), At(11200));
+  starts = CallsOf<StartCall>(fixture.AnswerHold(11200, {}));
+  fixture.keeper_.OnAnswer(
     starts[0].head_.id_, Answer(CallOutcome::NoRoom, 1700), At(11210));
-  auto report = bench.keeper_.TakeReport(At(12300));
+  auto report = fixture.keeper_.TakeReport(At(12300));
   cr_assert(report->refused_.empty());
   cr_assert_eq(report->runs_.size(), 1);
-  const auto stops = Only<StopCall>(bench.AnswerHold(12300, {}));
+  const auto stops = CallsOf<StopCall>(fixture.AnswerHold(12300, {}));
   cr_assert_eq(stops.size(), 1);
-  bench.keeper_.OnAnswer(
+  fixture.keeper_.OnAnswer(
     stops[0].head_.id_, Answer(CallOutcome::Accepted, 2800), At(12310));
-  cr_assert_eq(bench.HoldUntilStopsAreOver(12310).size(), 1);
-  report = bench.keeper_.TakeReport(At(14400));
+  cr_assert_eq(fixture.HoldUntilStopsComplete(12310).size(), 1);
+  report = fixture.keeper_.TakeReport(At(14400));
   cr_assert(report->runs_.empty());
 }
 
@@ -258,26 +260,26 @@
 // that had been stored): a start call without an answer is executed late, its
 // order expires, and the worker accepts a stop of the run, as it accepts any
 // stop. The side must not report that the run did not start.
-Test(WorkerKeeper, RunThatALateCallStartedIsNotGivenBack)
+Test(WorkerKeeper, RunStartedByLateCallIsNotRefused)
 {
   for (const bool stillRuns : { false, true }) {
-    Bench bench;
-    bench.StopAStartInDoubt();
+    Fixture fixture;
+    fixture.StopStartWithUnknownOutcome();
     std::size_t refused = 0;
     std::size_t ends = 0;
     const std::vector<RunFact> runs{ { "j.0.0.0", 1, false, "", 100, 7 } };
     for (std::int64_t now = 19310; now < 21500; now += 50) {
       const bool ended = !stillRuns || now > 19500;
       for (const HoldCall& hold :
-           Only<HoldCall>(bench.keeper_.TakeCalls(At(now)))) {
+           CallsOf<HoldCall>(fixture.keeper_.TakeCalls(At(now)))) {
         CallAnswer answer = Answer(CallOutcome::Accepted, now - 9500);
         answer.runs_ = ended ? std::vector<RunFact>() : runs;
         if (ended) {
           answer.ends_ = { { 1, "j.0.0.0", 1, EndKind::Done, "" } };
         }
-        bench.keeper_.OnAnswer(hold.head_.id_, answer, At(now));
+        fixture.keeper_.OnAnswer(hold.head_.id_, answer, At(now));
       }
-      if (const auto report = bench.keeper_.TakeReport(At(now))) {
+      if (const auto report = fixture.keeper_.TakeReport(At(now))) {
         refused += report->refused_.size();
         ends += report->ends_.size();
       }
@@ -290,28 +292,28 @@
 // Guards against a start that is refused while its run may still be stopping.
 // The worker no longer lists such a run. A stop may take half a second, and
 // only after that an unlisted run is known not to have started.
-Test(WorkerKeeper, StoppedStartIsGivenBackOnceAStopMustBeOver)
+Test(WorkerKeeper, StoppedStartIsRefusedAfterStopTimeout)
 {
-  Bench bench;
-  bench.StopAStartInDoubt();
+  Fixture fixture;
+  fixture.StopStartWithUnknownOutcome();
   for (std::int64_t now = 19320; now < 19800; now += 20) {
-    bench.AnswerHold(now, {});
-    const auto report = bench.keeper_.TakeReport(At(now));
+    fixture.AnswerHold(now, {});
+    const auto report = fixture.keeper_.TakeReport(At(now));
     cr_assert(!report.has_value() || report->refused_.empty(),
               "refused after %d ms",
               static_cast<int>(now - 19310));
   }
-  cr_assert_eq(bench.HoldUntilStopsAreOver(19800).size(), 1);
+  cr_assert_eq(fixture.HoldUntilStopsComplete(19800).size(), 1);
 }
 
 Test(WorkerKeeper, PlainRefusalIsReportedAtOnce)
 {
-  Bench bench;
-  bench.Order(2, 10800);
-  const auto starts = Only<StartCall>(bench.keeper_.TakeCalls(At(10800)));
-  bench.keeper_.OnAnswer(
+  Fixture fixture;
+  fixture.OrderStart(2, 10800);
+  const auto starts = CallsOf<StartCall>(fixture.keeper_.TakeCalls(At(10800)));
+  fixture.keeper_.OnAnswer(
     starts[0].head_.id_, Answer(CallOutcome::NoRoom, 1300), At(10810));
-  const auto report = bench.keeper_.TakeReport(At(10810));
+  const auto report = fixture.keeper_.TakeReport(At(10810));
   cr_assert_eq(report->refused_.size(), 1);
   cr_assert_eq(report->refused_[0].why_, StartRefusal::NoRoom);
 }
@@ -319,55 +321,56 @@
 // Guards against runs that are abandoned, because the announcement of a crashed
 // worker is delayed, arrives after that of the next incarnation and is treated
 // as a new incarnation.
-Test(WorkerKeeper, LateAnnouncementOfAFormerLifeChangesNothing)
+Test(WorkerKeeper, LateAnnouncementOfPastIncarnationIsIgnored)
 {
-  Bench bench;
-  bench.keeper_.OnAnnounced(Announce("w0", 99, 40), At(10900));
+  Fixture fixture;
+  fixture.keeper_.OnAnnounced(Announce("w0", 99, 40), At(10900));
   bool probed = false;
   for (const HoldCall& hold :
-       Only<HoldCall>(bench.keeper_.TakeCalls(At(11600)))) {
+       CallsOf<HoldCall>(fixture.keeper_.TakeCalls(At(11600)))) {
     if (hold.head_.workerId_ == "w0") {
       probed = true;
       CallAnswer wrong;
       wrong.outcome_ = CallOutcome::WrongLife;
-      bench.keeper_.OnAnswer(hold.head_.id_, wrong, At(11600));
+      fixture.keeper_.OnAnswer(hold.head_.id_, wrong, At(11600));
     }
   }
   cr_assert(probed, "the worker itself must be asked");
-  cr_assert_eq(bench.keeper_.WorkerId(), "w1");
+  cr_assert_eq(fixture.keeper_.WorkerId(), "w1");
 }
 
 // Guards against runs that are dropped too early. A worker that reports that it
 // leaves runs on until it has an answer; its runs end with its process.
 Test(WorkerKeeper, LeavingWorkerKeepsItsRunsUntilItsPortRefuses)
 {
-  Bench bench;
-  bench.Order(2, 10800);
-  const std::vector<WorkerCall> calls = bench.AnswerHold(10800, {});
-  const auto starts = Only<StartCall>(calls);
-  bench.keeper_.OnAnswer(
+  Fixture fixture;
+  fixture.OrderStart(2, 10800);
+  const std::vector<WorkerCall> calls = fixture.AnswerHold(10800, {});
+  const auto starts = CallsOf<StartCall>(calls);
+  fixture.keeper_.OnAnswer(
     starts[0].head_.id_, Answer(CallOutcome::Accepted, 1300), At(10810));
-  bench.keeper_.OnWorkerLeft("w1", At(10900));
-  cr_assert_eq(bench.keeper_.RunCount(), 1);
+  fixture.keeper_.OnWorkerLeft("w1", At(10900));
+  cr_assert_eq(fixture.keeper_.RunCount(), 1);
   CallAnswer refused;
   refused.outcome_ = CallOutcome::NotDone;
   for (const HoldCall& hold :
-       Only<HoldCall>(bench.keeper_.TakeCalls(At(11600)))) {
-    bench.keeper_.OnAnswer(hold.head_.id_, refused, At(11600));
+       CallsOf<HoldCall>(fixture.keeper_.TakeCalls(At(11600)))) {
+    fixture.keeper_.OnAnswer(hold.head_.id_, refused, At(11600));
   }
-  cr_assert_eq(bench.keeper_.RunCount(), 0);
-  cr_assert(bench.keeper_.WorkerId().empty());
+  cr_assert_eq(fixture.keeper_.RunCount(), 0);
+  cr_assert(fixture.keeper_.WorkerId().empty());
 }
 
 // Guards against orders of a former leader that was frozen and sends earlier
 // decisions on resume.
 Test(WorkerKeeper, OrdersOfAFormerLeaderAreRefused)
 {
-  Bench bench;
+  Fixture fixture;
   FleetOrders newer = Orders("w1", 1, At(10800));
   newer.epoch_ = 2;
-  cr_assert(bench.keeper_.OnOrders(newer, At(10800)));
-  cr_assert_not(bench.keeper_.OnOrders(Orders("w1", 9, At(10900)), At(10900)));
+  cr_assert(fixture.keeper_.OnOrders(newer, At(10800)));
+  cr_assert_not(
+    fixture.keeper_.OnOrders(Orders("w1", 9, At(10900)), At(10900)));
 }
 
 // Guards against a side whose calls are refused permanently, because its clock
@@ -376,15 +379,15 @@
 {
   WorkerKeeper keeper({ Millis(10000), Millis(500), 7 }, At(10000));
   keeper.OnAnnounced(Announce("w1", 500, 1), At(10000));
-  auto holds = Only<HoldCall>(keeper.TakeCalls(At(10000)));
+  auto holds = CallsOf<HoldCall>(keeper.TakeCalls(At(10000)));
   const std::uint64_t before = holds[0].head_.fence_;
   keeper.OnAnswer(
     holds[0].head_.id_, Answer(CallOutcome::Fenced, 500), At(10010));
-  holds = Only<HoldCall>(keeper.TakeCalls(At(10300)));
+  holds = CallsOf<HoldCall>(keeper.TakeCalls(At(10300)));
   cr_assert_gt(holds[0].head_.fence_, before);
 }
 
-Test(WorkerKeeper, NothingIsReportedBeforeTheWorkerWasAsked)
+Test(WorkerKeeper, NothingIsReportedBeforeWorkerAnswers)
 {
   WorkerKeeper keeper({ Millis(10000), Millis(500), 7 }, At(10000));
   keeper.OnLeaderLink(At(10000));
@@ -394,50 +397,50 @@
 
 // Guards against starts on a leaving worker, which would end with it seconds
 // later. The starts are queued behind orders that the worker does not answer.
-Test(WorkerKeeper, LeavingWorkerGetsNoStartThatWaited)
+Test(WorkerKeeper, LeavingWorkerGetsNoQueuedStart)
 {
-  Bench bench;
-  bench.Order(2, 10800);
-  const auto starts = Only<StartCall>(bench.AnswerHold(10800, {}));
+  Fixture fixture;
+  fixture.OrderStart(2, 10800);
+  const auto starts = CallsOf<StartCall>(fixture.AnswerHold(10800, {}));
   WorkerAnnouncement leaving = Announce("w1", 1400, 2);
   leaving.facts_.draining_ = true;
-  bench.keeper_.OnAnnounced(leaving, At(10900));
-  bench.keeper_.OnAnswer(starts[0].head_.id_, CallAnswer(), At(11200));
-  const std::vector<WorkerCall> calls = bench.AnswerHold(11200, {});
-  cr_assert(Only<StartCall>(calls).empty());
-  const auto stops = Only<StopCall>(calls);
+  fixture.keeper_.OnAnnounced(leaving, At(10900));
+  fixture.keeper_.OnAnswer(starts[0].head_.id_, CallAnswer(), At(11200));
+  const std::vector<WorkerCall> calls = fixture.AnswerHold(11200, {});
+  cr_assert(CallsOf<StartCall>(calls).empty());
+  const auto stops = CallsOf<StopCall>(calls);
   cr_assert_eq(stops.size(), 1, "the first start call may be executed late");
-  bench.keeper_.OnAnswer(
+  fixture.keeper_.OnAnswer(
     stops[0].head_.id_, Answer(CallOutcome::Accepted, 1800), At(11210));
-  cr_assert_eq(bench.HoldUntilStopsAreOver(11210).size(), 1);
+  cr_assert_eq(fixture.HoldUntilStopsComplete(11210).size(), 1);
 }
 
-Test(WorkerKeeper, StartThatWasNeverSentIsGivenBackAtOnce)
+Test(WorkerKeeper, UnsentStartIsRefusedAtOnce)
 {
-  Bench bench;
+  Fixture fixture;
   WorkerAnnouncement leaving = Announce("w1", 1300, 2);
   leaving.facts_.draining_ = true;
-  bench.keeper_.OnAnnounced(leaving, At(10800));
-  bench.Order(2, 10800);
-  cr_assert(Only<StartCall>(bench.keeper_.TakeCalls(At(10800))).empty());
-  cr_assert_eq(bench.keeper_.TakeReport(At(10800))->refused_.size(), 1);
+  fixture.keeper_.OnAnnounced(leaving, At(10800));
+  fixture.OrderStart(2, 10800);
+  cr_assert(CallsOf<StartCall>(fixture.keeper_.TakeCalls(At(10800))).empty());
+  cr_assert_eq(fixture.keeper_.TakeReport(At(10800))->refused_.size(), 1);
 }
 
 // Guards against immediate retries of a start to an unhealthy worker, whose
 // port closes each call without an answer: 200 connections per second for each
 // task, logged every 3 ms, left no processor time for other work on the host.
-Test(WorkerKeeper, StartWithoutAnAnswerIsNotRepeatedAtOnce)
+Test(WorkerKeeper, StartWithoutAnswerIsNotRepeatedAtOnce)
 {
-  Bench bench;
-  bench.Order(2, 10800);
+  Fixture fixture;
+  fixture.OrderStart(2, 10800);
   std::size_t starts = 0;
   for (std::int64_t now = 10800; now < 11800; ++now) {
     for (const StartCall& start :
-         Only<StartCall>(bench.keeper_.TakeCalls(At(now)))) {
+         CallsOf<StartCall>(fixture.keeper_.TakeCalls(At(now)))) {
       ++starts;
       CallAnswer none;
       none.outcome_ = CallOutcome::Doubt;
-      bench.keeper_.OnAnswer(start.head_.id_, none, At(now));
+      fixture.keeper_.OnAnswer(start.head_.id_, none, At(now));
     }
   }
   cr_assert_geq(starts, 5);
