--- a/Source/Process/FleetLead.h
+++ b/Source/Process/FleetLead.h
@@ -93,8 +93,7 @@
   FleetScheduler& Scheduler() { return scheduler_; }
   /** Returns whether the initial read of all tables is complete. */
   bool Loaded() const { return scheduler_.Loaded(); }
-  /** Returns when the last call to the work table that was answered was sent.
-   */
+  /** Returns the send time of the last answered call to the work table. */
   Instant TableAnsweredAt() const { return work_.CurrentAsOf(); }
 
   void OnJobStored(const JobDescription& aSpec)
--- a/Source/Process/FleetRecords.h
+++ b/Source/Process/FleetRecords.h
@@ -17,8 +17,8 @@
  * Tables, parts and rows of the fleet in the table service.
  *
  * Jobs are spread over several parts, because a part executes its transactions
- * sequentially and a slow table executes three per second. The leader writes to
- * a single part that is fenced by its head row.
+ * sequentially, about three per second in a slow table. The leader writes to a
+ * single part that is fenced by its head row.
  */
 
 /** Jobs and cancellations, written by the entry that accepts them. */
--- a/Source/Process/WorkerKeeper.h
+++ b/Source/Process/WorkerKeeper.h
@@ -50,7 +50,8 @@
   PaceOrder order_;
 };
 
-/** Extends the leases of all runs and requests the lists of runs and ends. */
+/** Extends the leases of all runs and requests the lists of runs and ends;
+ * "hold" is the name of this call in the platform's API. */
 struct HoldCall
 {
   CallHead head_;
--- a/Tests/Fleet/LeaderLeaseTest.cxx
+++ b/Tests/Fleet/LeaderLeaseTest.cxx
@@ -185,8 +185,8 @@
 }
 
 // Guards against a leader on a host with an eighth of a processor, which falls
-// seconds behind after a power failure. It reaches the table first when all
-// hosts start within 0.3 s, and must lead only if there is no larger host.
+// seconds behind after a power failure. Such a host may reach the table first
+// when all hosts start within 0.3 s, and must lead only without a larger host.
 Test(LeaderLease, LargerHostAcquiresFreeLease)
 {
   Table table;
--- a/Tests/Fleet/ProcessFleetTest.cxx
+++ b/Tests/Fleet/ProcessFleetTest.cxx
@@ -133,8 +133,8 @@
   cr_assert_eq(StartsOf(fleet, 1, "doubt.0.0.0"), 1);
 }
 
-// Guards against the row of a side whose worker has left and which was stopped.
-// If the row stays, the next leader defers all older work until that side can
+// Guards against a stale row of a side that was stopped after its worker left.
+// With such a row the next leader defers all older work until that side can
 // have no lease any more.
 Test(ProcessFleet, LeavingSideRemovesItsRow)
 {
@@ -149,10 +149,9 @@
 }
 
 // Guards against a leader on a host with an eighth of a processor, which falls
-// seconds behind, so that callers wait and watchers are not running. It
-// acquires the lease of a lost leader if it is the first to read the lease,
-// which each entry does every 0.7 s, and must hand over once a larger entry is
-// available.
+// seconds behind, so that callers wait and watchers are not running. Such a host
+// may read an expired lease first, as each entry reads it every 0.7 s, and must
+// hand over once a larger entry is available.
 Test(ProcessFleet, SmallHostYieldsToLargerHost)
 {
   const Application application;
