--- a/Tests/Fleet/ProcessFleetTest.cxx
+++ b/Tests/Fleet/ProcessFleetTest.cxx
@@ -149,9 +149,9 @@
 }
 
 // Guards against a leader on a host with an eighth of a processor, which falls
-// seconds behind, so that callers wait and watchers are not running. Such a host
-// may read an expired lease first, as each entry reads it every 0.7 s, and must
-// hand over once a larger entry is available.
+// seconds behind, so that callers wait and watchers are not running. Such a
+// host may read an expired lease first, as each entry reads it every 0.7 s, and
+// must hand over once a larger entry is available.
 Test(ProcessFleet, SmallHostYieldsToLargerHost)
 {
   const Application application;
