--- a/Source/Process/FleetEntry.h
+++ b/Source/Process/FleetEntry.h
@@ -34,7 +34,7 @@
 
 namespace cactusrail {
 
-/** What an entry of the fleet needs of the platform it runs on. */
+/** Requirements of an entry of the fleet on its platform. */
 template<typename Platform>
 concept EntryPlatform = RowStore<typename Platform::Store> &&
   requires(const HttpExchange& aExchange,
@@ -60,8 +60,9 @@
 };
 
 /**
- * An entry of the fleet: takes callers' jobs and questions; one of all entries
- * leads, and places the work. Keeps nothing that must last. Owned by main.
+ * Entry of the fleet: accepts jobs and queries of callers. One of the entries
+ * is the leader and places the work. Holds no state that must survive a
+ * restart. Owned by main.
  */
 template<EntryPlatform Platform>
 class FleetEntry : public QObject
@@ -89,8 +90,8 @@
   }
 
   /**
-   * Begins a planned stop: says that it is not ready, goes on serving until the
-   * balancer has noticed, then closes.
+   * Starts a planned stop: reports that the entry is not ready, serves requests
+   * until the load balancer has read that, and then closes.
    */
   void Stop(std::function<void()> aDone)
   {
@@ -113,36 +114,39 @@
   }
 
 private:
-  /** What is taken last is answered within this. */
+  /** Maximum time to answer the requests that are accepted last. */
   static constexpr Millis kLastAnswers{ 1500 };
   static constexpr Millis kStopCheck{ 50 };
-  /** The process is gone this long before the stop's bound. */
+  /** Margin by which the process exits before the bound of the stop. */
   static constexpr Millis kStopMargin{ 800 };
-  /** The leader answers from memory; a store's answer takes some 10 ms. */
+  /** Timeout of a request to the leader. The leader answers from memory; an
+   * answer of the store takes about 10 ms. */
   static constexpr Millis kAskTimeout{ 350 };
-  /** For this entry to store something for another. */
+  /** Timeout of a write to the store on behalf of another entry. */
   static constexpr Millis kPeerStoreTimeout{ 1000 };
-  /** It is asked every 0.7 s, and a call is given up after 1 s. */
-  static constexpr Millis kTableSilent{ 2000 };
-  /** Left of a caller's time for the answer's way. */
+  /** Time without an answer after which the table counts as unresponsive. The
+   * table is called every 0.7 s, and a call times out after 1 s. */
+  static constexpr Millis kTableAnswerTimeout{ 2000 };
+  /** Part of a caller's timeout that is reserved for sending the answer. */
   static constexpr Millis kAnswerMargin{ 250 };
-  /** For the leader to store something, its own retries included. */
+  /** Timeout of a write by the leader, including its retries. */
   static constexpr Millis kStoreTimeout{ 800 };
-  /** Between writes of something that may be stored already. */
-  static constexpr Millis kDoubtRetry{ 100 };
+  /** Interval between retries of a write that may already be stored. */
+  static constexpr Millis kUnknownOutcomeRetry{ 100 };
 
   using Answer = std::function<void(const CallerReply&)>;
 
   explicit FleetEntry(const FleetEntrySettings& aSettings)
     : settings_(aSettings)
-    , life_(aSettings.fleet_.name_ + "-" + std::to_string(ReadWallClock()))
+    , incarnation_(aSettings.fleet_.name_ + "-" +
+                   std::to_string(ReadWallClock()))
     , store_(aSettings.fleet_.store_)
     , intake_(store_)
     , stored_(store_)
-    , leader_(aSettings.fleet_.name_, aSettings.processors_)
+    , leaderLink_(aSettings.fleet_.name_, aSettings.processors_)
     , lease_(store_,
              { aSettings.fleet_.name_,
-               life_,
+               incarnation_,
                aSettings.fleet_.links_.Text(),
                aSettings.processors_ },
              [this] { OnLeaseChanged(); })
@@ -178,7 +182,7 @@
     }
     readiness_ = std::move(std::get<std::unique_ptr<HttpFront>>(readiness));
     connect(
-      &leader_, &LeaderLink::LeaderYields, this, [this](quint64 aVersion) {
+      &leaderLink_, &LeaderLink::LeaderYields, this, [this](quint64 aVersion) {
         LogChange("leader-yields", { { "version", std::to_string(aVersion) } });
         lease_.OnYield(aVersion);
       });
@@ -231,43 +235,48 @@
       std::make_shared<const FleetConfiguration>(std::move(configuration));
   }
 
-  // Leading.
+  // Leadership.
 
-  bool IsLeading() const { return lead_ != nullptr && lead_->Loaded(); }
+  bool IsLeading() const
+  {
+    return leadership_ != nullptr && leadership_->Loaded();
+  }
 
   void OnLeaseChanged()
   {
     const LeaderLease& lease = lease_.Lease();
-    if (!lease.Holds() && lead_ != nullptr) {
-      EndLead();
+    if (!lease.Holds() && leadership_ != nullptr) {
+      EndLeadership();
     }
-    if (lead_ != nullptr && leadEpoch_ != lease.Epoch()) {
-      EndLead();
+    if (leadership_ != nullptr && leadershipEpoch_ != lease.Epoch()) {
+      EndLeadership();
     }
-    if (lease.Holds() && lead_ == nullptr && !stopping_ &&
-        lease.Leads(ReadMonotonicClock())) {
-      leadEpoch_ = lease.Epoch();
-      lead_ = std::make_unique<FleetLead<Store>>(
+    if (lease.Holds() && leadership_ == nullptr && !stopping_ &&
+        lease.IsLeader(ReadMonotonicClock())) {
+      leadershipEpoch_ = lease.Epoch();
+      leadership_ = std::make_unique<FleetLead<Store>>(
         store_, lease, settings_.bounds_, settings_.fleet_.name_, [this] {
-          EndLead();
+          EndLeadership();
         });
-      lead_->Start();
+      leadership_->Start();
     }
     const LeaderRecord& leader = lease.Leader();
-    const bool other =
-      !leader.node_.empty() && leader.life_ != life_ && listener_ != nullptr;
-    leader_.SetLeader(other ? leader.address_ : std::string(),
-                      other ? leader.life_ : std::string());
+    const bool other = !leader.node_.empty() &&
+                       leader.incarnation_ != incarnation_ &&
+                       listener_ != nullptr;
+    leaderLink_.SetLeader(other ? leader.address_ : std::string(),
+                          other ? leader.incarnation_ : std::string());
   }
 
-  void EndLead()
+  void EndLeadership()
   {
-    if (lead_ == nullptr) {
+    if (leadership_ == nullptr) {
       return;
     }
-    LogChange("leading-ended", { { "epoch", std::to_string(leadEpoch_) } });
-    // It may be what is calling.
-    std::shared_ptr<FleetLead<Store>> ended(std::move(lead_));
+    LogChange("leading-ended",
+              { { "epoch", std::to_string(leadershipEpoch_) } });
+    // Deletes the leader later, because this may run in one of its callbacks.
+    std::shared_ptr<FleetLead<Store>> ended(std::move(leadership_));
     QTimer::singleShot(0, this, [ended] {});
   }
 
@@ -293,21 +302,23 @@
     });
   }
 
-  /** A peer that has read the leader's row a moment ago, so it reaches the
-   * table. */
+  /** Handles the hello of a peer. The peer has just read the leader row, so it
+   * reaches the table. */
   void OnPeerHello(SideLink* aLink, const FleetHelloMessage& aHello)
   {
     const double processors = aHello.milliProcessors_ / 1000.0;
-    if (lead_ != nullptr && lease_.Lease().HandsOverTo(processors)) {
-      YieldTo(aLink, "its host has more processors: " + aHello.node_);
+    if (leadership_ != nullptr && lease_.Lease().ShouldYieldTo(processors)) {
+      YieldTo(aLink,
+              "the other entry runs on a host with more processors: " +
+                aHello.node_);
     }
   }
 
   void YieldTo(SideLink* aLink, std::string aWhy)
   {
-    if (lease_.Lease().Leads(ReadMonotonicClock())) {
+    if (lease_.Lease().IsLeader(ReadMonotonicClock())) {
       LogChange("yielding",
-                { { "epoch", std::to_string(leadEpoch_) },
+                { { "epoch", std::to_string(leadershipEpoch_) },
                   { "why", std::move(aWhy) } });
       lease_.Yield();
     }
@@ -320,8 +331,10 @@
     const std::uint64_t id = aAsk.id_;
     const bool reachesTable = aAsk.question_ == FleetQuestion::JobStored ||
                               aAsk.question_ == FleetQuestion::CancelStored;
-    if (reachesTable && lead_ != nullptr && TableIsSilent()) {
-      YieldTo(aLink, "the asker has written to the table, silent to this one");
+    if (reachesTable && leadership_ != nullptr && TableIsUnresponsive()) {
+      YieldTo(aLink,
+              "the requesting entry has written to the table, which is "
+              "unresponsive to this leader");
     }
     AnswerAsk(aAsk, [link, id](FleetAnswerMessage aAnswer) {
       if (id != 0 && !link.isNull()) {
@@ -337,17 +350,17 @@
     return { 0, aOutcome, aValue };
   }
 
-  /** Answers a question to the leader, of another entry or of this one. */
+  /** Answers a request to the leader from another entry or from this one. */
   void AnswerAsk(const FleetAskMessage& aAsk,
                  const std::function<void(FleetAnswerMessage)>& aAnswer)
   {
     switch (aAsk.question_) {
       case FleetQuestion::JobStored:
-        aAnswer(NoteJob(aAsk));
+        aAnswer(HandleJobStored(aAsk));
         return;
       case FleetQuestion::CancelStored:
-        if (lead_ != nullptr) {
-          lead_->OnCancelStored(aAsk.subject_);
+        if (leadership_ != nullptr) {
+          leadership_->OnCancelStored(aAsk.subject_);
         }
         aAnswer(Outcome(FleetOutcome::Ok));
         return;
@@ -355,9 +368,10 @@
         aAnswer(StateAnswer(aAsk.subject_));
         return;
       case FleetQuestion::Waiting:
-        aAnswer(IsLeading() ? Outcome(FleetOutcome::Ok,
-                                      lead_->Scheduler().Waiting(aAsk.subject_))
-                            : Outcome(FleetOutcome::NotLeading));
+        aAnswer(IsLeading()
+                  ? Outcome(FleetOutcome::Ok,
+                            leadership_->Scheduler().Waiting(aAsk.subject_))
+                  : Outcome(FleetOutcome::NotLeading));
         return;
       case FleetQuestion::StoreJob:
       case FleetQuestion::StoreCancel:
@@ -366,14 +380,14 @@
     }
   }
 
-  FleetAnswerMessage NoteJob(const FleetAskMessage& aAsk)
+  FleetAnswerMessage HandleJobStored(const FleetAskMessage& aAsk)
   {
     const Result<JobDescription> spec =
       DecodeRecord<JobDescription>(aAsk.record_);
-    if (lead_ == nullptr || !Succeeded(spec)) {
+    if (leadership_ == nullptr || !Succeeded(spec)) {
       return Outcome(FleetOutcome::NotLeading);
     }
-    lead_->OnJobStored(std::get<JobDescription>(spec));
+    leadership_->OnJobStored(std::get<JobDescription>(spec));
     return Outcome(FleetOutcome::Ok);
   }
 
@@ -382,7 +396,8 @@
     if (!IsLeading()) {
       return Outcome(FleetOutcome::NotLeading);
     }
-    const std::optional<JobState> state = lead_->Scheduler().StateOf(aJob);
+    const std::optional<JobState> state =
+      leadership_->Scheduler().StateOf(aJob);
     return state.has_value()
              ? Outcome(FleetOutcome::Ok, static_cast<std::uint64_t>(*state))
              : Outcome(FleetOutcome::Unknown);
@@ -394,11 +409,11 @@
     const Instant deadline = ReadMonotonicClock() + kPeerStoreTimeout;
     const auto answer = [this, aAsk, aAnswer](IntakeOutcome aOutcome) {
       if (aOutcome == IntakeOutcome::Stored) {
-        FleetAskMessage note = aAsk;
-        note.question_ = aAsk.question_ == FleetQuestion::StoreJob
-                           ? FleetQuestion::JobStored
-                           : FleetQuestion::CancelStored;
-        AnswerAsk(note, [](const FleetAnswerMessage&) {});
+        FleetAskMessage notification = aAsk;
+        notification.question_ = aAsk.question_ == FleetQuestion::StoreJob
+                                   ? FleetQuestion::JobStored
+                                   : FleetQuestion::CancelStored;
+        AnswerAsk(notification, [](const FleetAnswerMessage&) {});
       }
       aAnswer(Outcome(aOutcome == IntakeOutcome::Stored ? FleetOutcome::Ok
                       : aOutcome == IntakeOutcome::NotStored
@@ -419,7 +434,7 @@
     intake_.StoreJob(std::get<JobDescription>(spec), deadline, answer);
   }
 
-  /** Asks the leader, which may be this entry. */
+  /** Sends a request to the leader, which may be this entry. */
   void AskLeader(FleetQuestion aQuestion,
                  const std::string& aSubject,
                  std::string aRecord,
@@ -430,46 +445,48 @@
     ask.question_ = aQuestion;
     ask.subject_ = aSubject;
     ask.record_ = std::move(aRecord);
-    if (lead_ != nullptr) {
+    if (leadership_ != nullptr) {
       AnswerAsk(ask, [aCallback](const FleetAnswerMessage& aAnswer) {
         aCallback(aAnswer);
       });
       return;
     }
-    leader_.Ask(std::move(ask), aTimeout, std::move(aCallback));
+    leaderLink_.Ask(std::move(ask), aTimeout, std::move(aCallback));
   }
 
-  void TellLeader(FleetQuestion aQuestion,
-                  const std::string& aSubject,
-                  std::string aRecord)
+  void NotifyLeader(FleetQuestion aQuestion,
+                    const std::string& aSubject,
+                    std::string aRecord)
   {
     FleetAskMessage ask;
     ask.question_ = aQuestion;
     ask.subject_ = aSubject;
     ask.record_ = std::move(aRecord);
-    if (lead_ != nullptr) {
+    if (leadership_ != nullptr) {
       AnswerAsk(ask, [](const FleetAnswerMessage&) {});
       return;
     }
-    leader_.Tell(std::move(ask));
+    leaderLink_.Notify(std::move(ask));
   }
 
   // Callers.
 
-  /** The table has answered nothing for a while. */
-  bool TableIsSilent() const
+  /** Returns whether the table has not answered within kTableAnswerTimeout. */
+  bool TableIsUnresponsive() const
   {
     Instant answered = std::max(lease_.AnsweredAt(), intake_.AnsweredAt());
-    if (lead_ != nullptr) {
-      answered = std::max(answered, lead_->TableAnsweredAt());
+    if (leadership_ != nullptr) {
+      answered = std::max(answered, leadership_->TableAnsweredAt());
     }
-    return ReadMonotonicClock() - answered > kTableSilent;
+    return ReadMonotonicClock() - answered > kTableAnswerTimeout;
   }
 
-  /** Neither the table nor the leader can be reached: nothing can be taken. */
+  /** Returns whether neither the table nor another leader is reachable, so that
+   * no job can be accepted. */
   bool IsCutOff() const
   {
-    return TableIsSilent() && (lead_ != nullptr || !leader_.Usable());
+    return TableIsUnresponsive() &&
+           (leadership_ != nullptr || !leaderLink_.Usable());
   }
 
   bool IsReady() const
@@ -500,17 +517,17 @@
     const std::string job = JobOf(call);
     const Answer answer =
       [this, aExchange, arrived, kind, job](const CallerReply& aReply) {
-        const Micros taken = ReadMonotonicClock() - arrived;
+        const Micros elapsed = ReadMonotonicClock() - arrived;
         Metrics::OfProcess().RequestEnded(
-          "callers", kind, VerdictOf(aReply.outcome_), taken);
-        LogAnswer(job, kind, aReply, taken);
+          "callers", kind, VerdictOf(aReply.outcome_), elapsed);
+        LogAnswer(job, kind, aReply, elapsed);
         aExchange.Answer(Platform::EncodeReply(aReply));
       };
     std::visit([&](const auto& aWhat) { Serve(aWhat, call.deadline_, answer); },
                call.what_);
   }
 
-  /** What a caller asks, as the metrics page tells requests apart. */
+  /** Returns the label of the request kind on the metrics page. */
   static const char* KindOf(const CallerCall& aCall)
   {
     constexpr std::array<const char*, 5> kKinds{
@@ -519,7 +536,7 @@
     return kKinds.at(aCall.what_.index());
   }
 
-  /** The job that a caller hands in or cancels; empty for a question. */
+  /** Returns the job that a caller submits or cancels; empty for a query. */
   static std::string JobOf(const CallerCall& aCall)
   {
     if (const auto* submit = std::get_if<SubmitJob>(&aCall.what_)) {
@@ -529,12 +546,12 @@
     return cancel == nullptr ? std::string() : cancel->job_;
   }
 
-  /** One line for each job that is handed in or cancelled, whatever became of
-   * it, with what the answer rested on. */
+  /** Logs one line for each submission or cancellation of a job, with the
+   * verdict and the state on which the answer is based. */
   void LogAnswer(const std::string& aJob,
                  const char* aKind,
                  const CallerReply& aReply,
-                 Micros aTaken) const
+                 Micros aElapsed) const
   {
     if (aJob.empty()) {
       return;
@@ -549,7 +566,7 @@
         { "asked", aKind },
         { "verdict", std::string(VerdictText(VerdictOf(aReply.outcome_))) },
         { "why", aReply.why_ },
-        { "tookMs", std::to_string(aTaken.count() / 1000) },
+        { "tookMs", std::to_string(aElapsed.count() / 1000) },
         { "tableAnsweredMsAgo", std::to_string(age.count()) },
         { "leader", lease_.Lease().Leader().node_ } });
   }
@@ -573,20 +590,23 @@
   {
     const JobDescription spec = aCall.spec_;
     const auto viaLeader = [this, spec, aDeadline, aAnswer] {
-      StoreByLeader(FleetQuestion::StoreJob,
-                    spec.id_,
-                    EncodeRecord(spec),
-                    aDeadline,
-                    aAnswer);
+      StoreViaLeader(FleetQuestion::StoreJob,
+                     spec.id_,
+                     EncodeRecord(spec),
+                     aDeadline,
+                     aAnswer);
     };
     if (IsCutOff()) {
-      // Nothing has been tried, so it has surely not been taken; another entry
-      // may be better off, and the caller's time is short.
+      // No write was attempted, so the job is not stored and the caller can
+      // retry at once. Another entry may reach the table, and the caller's
+      // timeout is short.
       aAnswer(
-        ReplyTryLater("This entry reaches nothing that it could store with."));
+        ReplyTryLater("This entry cannot store the job, because it reaches "
+                      "neither the table service nor another leader; "
+                      "retry at another entry."));
       return;
     }
-    if (intake_.InTrouble() && lead_ == nullptr && leader_.Usable()) {
+    if (intake_.InTrouble() && leadership_ == nullptr && leaderLink_.Usable()) {
       viaLeader();
       return;
     }
@@ -595,24 +615,26 @@
       aDeadline - kAnswerMargin,
       [this, spec, aAnswer, viaLeader](IntakeOutcome aOutcome) {
         if (aOutcome == IntakeOutcome::Stored) {
-          TellLeader(FleetQuestion::JobStored, spec.id_, EncodeRecord(spec));
+          NotifyLeader(FleetQuestion::JobStored, spec.id_, EncodeRecord(spec));
           aAnswer(ReplyOf(CallerOutcome::Stored));
         } else if (aOutcome == IntakeOutcome::InDoubt) {
           aAnswer(ReplyOf(CallerOutcome::InDoubt,
-                          "The table service did not answer in time."));
-        } else if (lead_ == nullptr && leader_.Usable()) {
+                          "The table service did not answer in time; query the "
+                          "job's state."));
+        } else if (leadership_ == nullptr && leaderLink_.Usable()) {
           viaLeader();
         } else {
-          aAnswer(ReplyTryLater("The table service takes nothing now."));
+          aAnswer(ReplyTryLater(
+            "The table service accepts no writes now; retry later."));
         }
       });
   }
 
-  void StoreByLeader(FleetQuestion aQuestion,
-                     const std::string& aJob,
-                     std::string aRecord,
-                     Instant aDeadline,
-                     const Answer& aAnswer)
+  void StoreViaLeader(FleetQuestion aQuestion,
+                      const std::string& aJob,
+                      std::string aRecord,
+                      Instant aDeadline,
+                      const Answer& aAnswer)
   {
     const Instant now = ReadMonotonicClock();
     const Millis left =
@@ -626,46 +648,50 @@
       [this, aQuestion, aJob, record, aDeadline, aAnswer](
         const std::optional<FleetAnswerMessage>& aReply) {
         if (!aReply.has_value() || aReply->outcome_ == FleetOutcome::InDoubt) {
-          // It may be stored, or not: the same write again makes sure.
-          StoreInDoubt(aQuestion, aJob, record, aDeadline, aAnswer);
+          // The outcome is unknown; repeating the write resolves it.
+          RetryUnknownStore(aQuestion, aJob, record, aDeadline, aAnswer);
         } else if (aReply->outcome_ == FleetOutcome::Ok) {
           aAnswer(ReplyOf(CallerOutcome::Stored));
         } else {
-          aAnswer(ReplyTryLater("The table service takes nothing now."));
+          aAnswer(ReplyTryLater(
+            "The table service accepts no writes now; retry later."));
         }
       });
   }
 
-  /** Stores what may be stored already; never says that it is not. */
-  void StoreInDoubt(FleetQuestion aQuestion,
-                    const std::string& aJob,
-                    const std::string& aRecord,
-                    Instant aDeadline,
-                    const Answer& aAnswer)
+  /** Repeats a write that may already be stored. Never answers that it is not
+   * stored. */
+  void RetryUnknownStore(FleetQuestion aQuestion,
+                         const std::string& aJob,
+                         const std::string& aRecord,
+                         Instant aDeadline,
+                         const Answer& aAnswer)
   {
     const auto done = [this, aQuestion, aJob, aRecord, aDeadline, aAnswer](
                         IntakeOutcome aOutcome) {
       if (aOutcome == IntakeOutcome::Stored) {
-        TellLeader(aQuestion == FleetQuestion::StoreJob
-                     ? FleetQuestion::JobStored
-                     : FleetQuestion::CancelStored,
-                   aJob,
-                   aRecord);
+        NotifyLeader(aQuestion == FleetQuestion::StoreJob
+                       ? FleetQuestion::JobStored
+                       : FleetQuestion::CancelStored,
+                     aJob,
+                     aRecord);
         aAnswer(ReplyOf(CallerOutcome::Stored));
         return;
       }
       if (aOutcome == IntakeOutcome::NotStored && !IsCutOff() &&
-          ReadMonotonicClock() + kDoubtRetry < aDeadline - kAnswerMargin) {
+          ReadMonotonicClock() + kUnknownOutcomeRetry <
+            aDeadline - kAnswerMargin) {
         QTimer::singleShot(
-          kDoubtRetry,
+          kUnknownOutcomeRetry,
           this,
           [this, aQuestion, aJob, aRecord, aDeadline, aAnswer] {
-            StoreInDoubt(aQuestion, aJob, aRecord, aDeadline, aAnswer);
+            RetryUnknownStore(aQuestion, aJob, aRecord, aDeadline, aAnswer);
           });
         return;
       }
-      aAnswer(ReplyOf(CallerOutcome::InDoubt,
-                      "The table service did not answer in time."));
+      aAnswer(ReplyOf(
+        CallerOutcome::InDoubt,
+        "The table service did not answer in time; query the job's state."));
     };
     const Result<JobDescription> spec = DecodeRecord<JobDescription>(aRecord);
     if (aQuestion == FleetQuestion::StoreCancel) {
@@ -708,14 +734,14 @@
                 } else if (known) {
                   StoreCancel(job, aDeadline, aAnswer);
                 } else {
-                  CancelUnknown(job, aDeadline, aAnswer);
+                  CancelStoredJob(job, aDeadline, aAnswer);
                 }
               });
   }
 
-  void CancelUnknown(const std::string& aJob,
-                     Instant aDeadline,
-                     const Answer& aAnswer)
+  void CancelStoredJob(const std::string& aJob,
+                       Instant aDeadline,
+                       const Answer& aAnswer)
   {
     stored_.Find(JobRowId(aJob),
                  [this, aJob, aDeadline, aAnswer](std::optional<bool> aStored) {
@@ -738,16 +764,18 @@
       aDeadline - kAnswerMargin,
       [this, aJob, aDeadline, aAnswer](IntakeOutcome aOutcome) {
         if (aOutcome == IntakeOutcome::Stored) {
-          TellLeader(FleetQuestion::CancelStored, aJob, {});
+          NotifyLeader(FleetQuestion::CancelStored, aJob, {});
           aAnswer(ReplyOf(CallerOutcome::Stored));
         } else if (aOutcome == IntakeOutcome::InDoubt) {
           aAnswer(ReplyOf(CallerOutcome::InDoubt,
-                          "The table service did not answer in time."));
-        } else if (lead_ == nullptr && leader_.Usable()) {
-          StoreByLeader(
+                          "The table service did not answer in time; query the "
+                          "job's state."));
+        } else if (leadership_ == nullptr && leaderLink_.Usable()) {
+          StoreViaLeader(
             FleetQuestion::StoreCancel, aJob, {}, aDeadline, aAnswer);
         } else {
-          aAnswer(ReplyTryLater("The table service takes nothing now."));
+          aAnswer(ReplyTryLater(
+            "The table service accepts no writes now; retry later."));
         }
       });
   }
@@ -761,7 +789,8 @@
               [aAnswer](const std::optional<FleetAnswerMessage>& aReply) {
                 if (!aReply.has_value() ||
                     aReply->outcome_ != FleetOutcome::Ok) {
-                  aAnswer(ReplyTryLater("No entry leads at the moment."));
+                  aAnswer(ReplyTryLater(
+                    "No entry is the leader at the moment; retry later."));
                   return;
                 }
                 CallerReply reply = ReplyOf(CallerOutcome::Waiting);
@@ -770,7 +799,7 @@
               });
   }
 
-  // The end.
+  // Stop.
 
   void CheckStopped()
   {
@@ -794,11 +823,11 @@
   }
 
   FleetEntrySettings settings_;
-  std::string life_;
+  std::string incarnation_;
   Store store_;
   JobIntake<Store> intake_;
   StoredJobs<Store> stored_;
-  LeaderLink leader_;
+  LeaderLink leaderLink_;
   LeaseRunner<Store> lease_;
   KeyKeeper<Store> key_;
   TableWatch<Store> configurationWatch_;
@@ -808,8 +837,8 @@
   std::unique_ptr<HttpFront> metrics_;
   std::unique_ptr<LinkListener> listener_;
   std::set<SideLink*> peers_;
-  std::unique_ptr<FleetLead<Store>> lead_;
-  std::uint64_t leadEpoch_ = 0;
+  std::unique_ptr<FleetLead<Store>> leadership_;
+  std::uint64_t leadershipEpoch_ = 0;
   bool stopping_ = false;
   StopNotice notice_;
   Instant stopBound_;
--- a/Source/Process/FleetLead.h
+++ b/Source/Process/FleetLead.h
@@ -28,9 +28,11 @@
 namespace cactusrail {
 
 /**
- * What an entry does while it leads: reads the table, holds a link to each
- * side, carries out what FleetScheduler decides. Made when the lease is won,
- * destroyed when it is lost; one life is one epoch.
+ * Leader role of an entry: reads the tables, maintains a link to each side and
+ * executes the decisions of FleetScheduler.
+ *
+ * Created when the entry acquires the leader lease and destroyed when it loses
+ * the lease; each instance belongs to exactly one epoch.
  */
 template<RowStore Store>
 class FleetLead : public QObject
@@ -40,12 +42,12 @@
             const LeaderLease& aLease,
             const FleetBounds& aBounds,
             std::string aNode,
-            std::function<void()> aDeposed)
+            std::function<void()> aLeadershipLost)
     : store_(aStore)
     , lease_(aLease)
     , epoch_(aLease.Epoch())
     , node_(std::move(aNode))
-    , deposed_(std::move(aDeposed))
+    , leadershipLost_(std::move(aLeadershipLost))
     , scheduler_(epoch_, aBounds, ReadWallClock() / 1000)
     , writer_(aStore, epoch_)
     , work_(
@@ -71,8 +73,8 @@
         [this] { OnMembersRead(); })
   {
     connect(&tick_, &QTimer::timeout, this, [this] { OnTick(); });
-    poke_.setSingleShot(true);
-    connect(&poke_, &QTimer::timeout, this, [this] { Pump(); });
+    pumpTimer_.setSingleShot(true);
+    connect(&pumpTimer_, &QTimer::timeout, this, [this] { Pump(); });
   }
 
   ~FleetLead() override
@@ -85,49 +87,49 @@
   void Start()
   {
     LogChange("leading", { { "epoch", std::to_string(epoch_) } });
-    writer_.Fence([this] { work_.Start(); }, [this] { deposed_(); });
+    writer_.Fence([this] { work_.Start(); }, [this] { leadershipLost_(); });
   }
 
   FleetScheduler& Scheduler() { return scheduler_; }
-  /** All of the table has been read. */
+  /** Returns whether the initial read of all tables is complete. */
   bool Loaded() const { return scheduler_.Loaded(); }
-  /** When the last call that the table has answered for sure was sent. */
+  /** Returns the send time of the last answered call to the work table. */
   Instant TableAnsweredAt() const { return work_.CurrentAsOf(); }
 
   void OnJobStored(const JobDescription& aSpec)
   {
     scheduler_.OnJobStored(aSpec, ReadMonotonicClock());
-    Poke();
+    SchedulePump();
   }
 
   void OnCancelStored(const std::string& aJob)
   {
     scheduler_.OnCancelStored(aJob, ReadMonotonicClock());
-    Poke();
+    SchedulePump();
   }
 
 private:
   static constexpr Millis kTick{ 50 };
-  /** Facts that come together are decided on together. */
-  static constexpr Millis kCoalesce{ 10 };
-  /** Changes are stored together if they come within this. */
-  static constexpr Millis kFlush{ 25 };
-  /** A side that has not reported for so long is linked anew. */
-  static constexpr Millis kSilentSide{ 2500 };
+  /** Delay that batches inputs which arrive together into one decision. */
+  static constexpr Millis kCoalesceDelay{ 10 };
+  /** Minimum interval between two writes of accumulated changes. */
+  static constexpr Millis kFlushInterval{ 25 };
+  /** Timeout without a report after which the link to a side is reopened. */
+  static constexpr Millis kSideTimeout{ 2500 };
   static constexpr Millis kLinkRetry{ 250 };
-  static constexpr Millis kSweep{ 5000 };
+  static constexpr Millis kSweepInterval{ 5000 };
   static constexpr Millis kRemoveTimeout{ 2000 };
 
   struct Side
   {
     std::string address_;
-    std::string life_;
+    std::string incarnation_;
     std::uint64_t rowVersion_ = 0;
     QPointer<SideLink> link_;
-    /** Of link_. */
+    /** Decoder state of link_. */
     ReportDecoder reports_;
     bool up_ = false;
-    Instant heardAt_;
+    Instant lastReceivedAt_;
     Instant retryAt_;
   };
 
@@ -203,10 +205,11 @@
     const auto& member = std::get<MemberRecord>(record);
     Side& side = sides_[node];
     side.rowVersion_ = aRow.version_;
-    if (side.address_ != member.address_ || side.life_ != member.life_) {
+    if (side.address_ != member.address_ ||
+        side.incarnation_ != member.incarnation_) {
       LoseLink(node, side);
       side.address_ = member.address_;
-      side.life_ = member.life_;
+      side.incarnation_ = member.incarnation_;
       side.retryAt_ = Instant();
     }
     if (scheduler_.OnSideRegistered(node, ReadMonotonicClock())) {
@@ -223,22 +226,22 @@
     if (Loaded()) {
       return;
     }
-    ReadLearned();
+    ReadInterferenceModel();
     scheduler_.OnLoaded(ReadMonotonicClock(), ReadWallClock() / 1000);
     tick_.start(kTick);
     CheckLinks();
     Pump();
   }
 
-  void ReadLearned()
+  void ReadInterferenceModel()
   {
     store_.Read(
-      RowRange::Only(LearnedRowId()),
+      RowRange::Only(InterferenceModelRowId()),
       ReadMonotonicClock() + kRemoveTimeout,
       Guarded(this, [this](Result<RowPage> aPage) {
         const auto* page = std::get_if<RowPage>(&aPage);
         if (page == nullptr || page->rows_.empty()) {
-          return; // Then it is learned anew.
+          return; // The model starts empty and is rebuilt from reports.
         }
         const Result<LearnedContention> record =
           DecodeRecord<LearnedContention>(page->rows_.front().value_);
@@ -252,19 +255,20 @@
       }));
   }
 
-  void WriteLearned(Instant aNow)
+  void WriteInterferenceModel(Instant aNow)
   {
     LearnedContention record = scheduler_.Interference().Model().Export();
-    if (record.pairs_.empty() || !lease_.Leads(aNow)) {
+    if (record.pairs_.empty() || !lease_.IsLeader(aNow)) {
       return;
     }
-    // Within the size of a row.
-    constexpr std::size_t kMostPairs = 400;
-    constexpr std::size_t kMostBases = 100;
-    record.pairs_.resize(std::min(record.pairs_.size(), kMostPairs));
-    record.bases_.resize(std::min(record.bases_.size(), kMostBases));
+    // Keeps the record within the maximum size of a row.
+    constexpr std::size_t kMaxPairs = 400;
+    constexpr std::size_t kMaxBases = 100;
+    record.pairs_.resize(std::min(record.pairs_.size(), kMaxPairs));
+    record.bases_.resize(std::min(record.bases_.size(), kMaxBases));
     RowTransaction transaction;
-    transaction.puts_.push_back({ LearnedRowId(), EncodeRecord(record) });
+    transaction.puts_.push_back(
+      { InterferenceModelRowId(), EncodeRecord(record) });
     store_.Write(transaction, aNow + kRemoveTimeout, [](const Commit&) {});
   }
 
@@ -280,10 +284,11 @@
   }
 
   /**
-   * Ends a link, and tells the scheduler so.
+   * Closes a link and notifies the scheduler.
    *
-   * The scheduler sends no orders on a new link before its first report, which
-   * would not know of them: their tasks would be taken for not started.
+   * After this notification the scheduler sends no orders on a new link before
+   * the first report on that link. Such a report would not list the runs of
+   * earlier orders, so their tasks would be treated as not started.
    */
   void LoseLink(const std::string& aNode, Side& aSide)
   {
@@ -301,7 +306,7 @@
     auto* link = new SideLink(target.ip_, target.port_, nullptr);
     aSide.link_ = link;
     aSide.reports_ = ReportDecoder();
-    aSide.heardAt_ = ReadMonotonicClock();
+    aSide.lastReceivedAt_ = ReadMonotonicClock();
     connect(link,
             &SideLink::Received,
             this,
@@ -325,23 +330,23 @@
     }
     LoseLink(aNode, found->second);
     found->second.retryAt_ = ReadMonotonicClock() + kLinkRetry;
-    Poke();
+    SchedulePump();
   }
 
   void CheckLinks()
   {
     const Instant now = ReadMonotonicClock();
-    std::vector<std::string> silent;
+    std::vector<std::string> timedOut;
     for (auto& [node, side] : sides_) {
       if (side.link_.isNull()) {
         if (now >= side.retryAt_) {
           OpenLink(node, side);
         }
-      } else if (now - side.heardAt_ > kSilentSide) {
-        silent.push_back(node);
+      } else if (now - side.lastReceivedAt_ > kSideTimeout) {
+        timedOut.push_back(node);
       }
     }
-    for (const std::string& node : silent) {
+    for (const std::string& node : timedOut) {
       OnLost(node);
     }
   }
@@ -366,19 +371,19 @@
       return;
     }
     const Instant now = ReadMonotonicClock();
-    found->second.heardAt_ = now;
+    found->second.lastReceivedAt_ = now;
     if (!found->second.up_) {
       found->second.up_ = true;
       scheduler_.OnLinkUp(aNode, now);
     }
     scheduler_.OnReport(aNode, *report, now);
-    Poke();
+    SchedulePump();
   }
 
-  void Poke()
+  void SchedulePump()
   {
-    if (!poke_.isActive()) {
-      poke_.start(kCoalesce);
+    if (!pumpTimer_.isActive()) {
+      pumpTimer_.start(kCoalesceDelay);
     }
   }
 
@@ -388,7 +393,7 @@
     Pump();
     const Instant now = ReadMonotonicClock();
     if (now >= nextSweep_) {
-      nextSweep_ = now + kSweep;
+      nextSweep_ = now + kSweepInterval;
       Sweep(now);
     }
   }
@@ -396,7 +401,7 @@
   void Pump()
   {
     const Instant now = ReadMonotonicClock();
-    if (!Loaded() || !lease_.Leads(now)) {
+    if (!Loaded() || !lease_.IsLeader(now)) {
       return;
     }
     scheduler_.OnTableCurrent(work_.CurrentAsOf());
@@ -426,7 +431,7 @@
     if (!batch.has_value() && removals_.empty()) {
       return;
     }
-    nextFlush_ = aNow + kFlush;
+    nextFlush_ = aNow + kFlushInterval;
     const std::uint64_t number = batch.has_value() ? batch->number_ : 0;
     writer_.Write(batch.value_or(ProgressBatch()),
                   std::exchange(removals_, {}),
@@ -434,22 +439,25 @@
                     if (number > 0) {
                       scheduler_.OnBatchStored(number, ReadMonotonicClock());
                     }
-                    Poke();
+                    SchedulePump();
                   });
   }
 
-  /** Removes what nobody can ask for any more. */
+  /**
+   * Stores the interference model, removes expired jobs and the rows of
+   * removable sides, and logs the state of each worker.
+   */
   void Sweep(Instant aNow)
   {
-    WriteLearned(aNow);
+    WriteInterferenceModel(aNow);
     std::map<std::string, std::vector<std::string>> byPart;
     for (const std::string& id : scheduler_.Expired(ReadWallClock() / 1000)) {
       byPart[WorkPartOf(id)].push_back(id);
     }
-    constexpr std::size_t kMostAtOnce = 40;
+    constexpr std::size_t kMaxJobsPerTransaction = 40;
     for (auto& [part, found] : byPart) {
       std::vector<std::string> ids = std::move(found);
-      ids.resize(std::min(ids.size(), kMostAtOnce));
+      ids.resize(std::min(ids.size(), kMaxJobsPerTransaction));
       RowTransaction transaction;
       for (const std::string& id : ids) {
         transaction.removals_.push_back(JobRowId(id));
@@ -488,7 +496,7 @@
                      const Commit& aCommit)
   {
     if (aCommit.outcome_ != CommitOutcome::Done) {
-      return; // The next sweep finds them again.
+      return; // The next sweep retries the removal.
     }
     for (const std::string& id : aIds) {
       scheduler_.Forget(id);
@@ -503,11 +511,12 @@
       return;
     }
     RowTransaction transaction;
-    // A side that registered again since has another version.
+    // The row of a side that has registered again since then has a different
+    // version, so this transaction does not remove it.
     transaction.conditions_.push_back(
       { MemberRowId(aNode), found->second.rowVersion_ });
     transaction.removals_.push_back(MemberRowId(aNode));
-    // Until its row comes anew, nothing may start there.
+    // No run may start on this side until its row is read again.
     scheduler_.OnSideRemoved(aNode);
     LogChange("side-removed", { { "side", aNode } });
     store_.Write(transaction, aNow + kRemoveTimeout, [](const Commit&) {});
@@ -517,7 +526,7 @@
   const LeaderLease& lease_;
   std::uint64_t epoch_;
   std::string node_;
-  std::function<void()> deposed_;
+  std::function<void()> leadershipLost_;
   FleetScheduler scheduler_;
   ProgressWriter<Store> writer_;
   TableWatch<Store> work_;
@@ -528,7 +537,7 @@
   Instant nextFlush_;
   Instant nextSweep_;
   QTimer tick_;
-  QTimer poke_;
+  QTimer pumpTimer_;
 };
 
 }
--- a/Source/Process/LeaseRunner.h
+++ b/Source/Process/LeaseRunner.h
@@ -16,13 +16,13 @@
 
 namespace cactusrail {
 
-/** Carries out the steps of a LeaderLease against the table. Owned by the
- * entry's process. */
+/** Executes the steps of a LeaderLease against the table. Owned by the entry's
+ * process. */
 template<RowStore Store>
 class LeaseRunner : public QObject
 {
 public:
-  /** Called after each change of what the lease says. */
+  /** Called after each table operation that may have changed the lease. */
   using Callback = std::function<void()>;
 
   LeaseRunner(Store& aStore, LeaderLease::Identity aSelf, Callback aChanged)
@@ -56,12 +56,13 @@
 
   const LeaderLease& Lease() const { return lease_; }
 
-  /** When the table last answered; it is asked at least every second. */
+  /** Returns when the table last answered; it is called at least every second.
+   */
   Instant AnsweredAt() const { return answeredAt_; }
 
 private:
   static constexpr Millis kTick{ 100 };
-  /** Shorter than what is left of a lease after two renewals failed. */
+  /** Shorter than the remaining time of a lease after two failed renewals. */
   static constexpr Millis kCallTimeout{ 1000 };
 
   void Step()
@@ -81,7 +82,7 @@
 
   void Read(Instant aSentAt)
   {
-    const RowId id = LeadRowId();
+    const RowId id = LeaderRowId();
     store_.Read({ id.table_, id.part_, id.key_, {} },
                 aSentAt + kCallTimeout,
                 Guarded(this, [this, aSentAt](Result<RowPage> aPage) {
@@ -101,7 +102,7 @@
     answeredAt_ = now;
     LeaderRow row;
     if (!page->rows_.empty() &&
-        page->rows_.front().id_.key_ == LeadRowId().key_) {
+        page->rows_.front().id_.key_ == LeaderRowId().key_) {
       Result<LeaderRecord> record =
         DecodeRecord<LeaderRecord>(page->rows_.front().value_);
       if (auto* decoded = std::get_if<LeaderRecord>(&record)) {
@@ -120,8 +121,9 @@
   void Write(Instant aSentAt)
   {
     RowTransaction transaction;
-    transaction.conditions_.push_back({ LeadRowId(), lease_.RowVersion() });
-    transaction.puts_.push_back({ LeadRowId(), EncodeRecord(lease_.Wanted()) });
+    transaction.conditions_.push_back({ LeaderRowId(), lease_.RowVersion() });
+    transaction.puts_.push_back(
+      { LeaderRowId(), EncodeRecord(lease_.Wanted()) });
     store_.Write(
       transaction,
       aSentAt + kCallTimeout,
@@ -146,7 +148,7 @@
         lease_.OnNotWritten(now);
         break;
       case CommitOutcome::Doubt:
-        lease_.OnDoubt(now);
+        lease_.OnUnknownOutcome(now);
         break;
     }
     changed_();
--- a/Tests/Fleet/WorkPartsTest.cxx
+++ b/Tests/Fleet/WorkPartsTest.cxx
@@ -10,30 +10,30 @@
 
 namespace {
 
-/** Transactions that a part carries out in a second while the table takes 43
- * times as long as usual: one after another, 8 ms each. */
+/** Transactions per second of a part while the table is 43 times slower than
+ * usual. A part executes them sequentially, 8 ms each at the usual speed. */
 constexpr double kSlowPartRate = 1000.0 / (43 * 8);
 
-/** A part refuses more once the work of a second waits there. */
-constexpr double kMostWaitingSeconds = 1;
+/** Backlog, in seconds of work, at which a part refuses transactions. */
+constexpr double kMaxBacklogSeconds = 1;
 
-/** Jobs that callers of a large fleet hand in at the peak. */
-constexpr int kJobsASecond = 40;
+/** Peak rate at which callers of a large fleet submit jobs. */
+constexpr int kJobsPerSecond = 40;
 
 }
 
-// Pattern: entries store jobs one by one in a slow table; with few parts each
-// of them refused two jobs of three.
-Test(WorkParts, NoPartGetsMoreJobsThanASlowTableTakes)
+// Guards against parts that refuse jobs in a slow table. Entries store each job
+// separately, and with few parts each part refused two jobs of three.
+Test(WorkParts, NoPartExceedsCapacityOfSlowTable)
 {
   constexpr int kSeconds = 10;
   std::map<std::string, int> jobs;
-  for (int i = 0; i < kSeconds * kJobsASecond; ++i) {
+  for (int i = 0; i < kSeconds * kJobsPerSecond; ++i) {
     ++jobs[WorkPartOf("9e3779b9" + std::to_string(i * 7919))];
   }
   int most = 0;
   for (const auto& [part, count] : jobs) {
     most = std::max(most, count);
   }
-  cr_assert_leq(most, (kSeconds + kMostWaitingSeconds) * kSlowPartRate);
+  cr_assert_leq(most, (kSeconds + kMaxBacklogSeconds) * kSlowPartRate);
 }
