--- a/Source/Version/ContentionModel.cxx
+++ b/Source/Version/ContentionModel.cxx
@@ -7,27 +7,29 @@
 
 namespace {
 
-/** The lowest latency seen is that of the lowest load; without any it would be
- * shorter by this factor. */
+/** Ratio of the latency without load to the lowest reported latency, which
+ * still includes some load. */
 constexpr double kBaseOfLeast = 0.8;
-/** Until so many figures of an image are known the lowest of them is not
- * trusted, and the base is taken to be this part of the objective at most. */
+/** Number of reports of an image from which their lowest pressure is used as it
+ * is. With fewer reports the lowest pressure is capped at kFirstLeast. */
 constexpr std::uint32_t kTrustedFigures = 30;
+/** Share of the objective. */
 constexpr double kFirstLeast = 0.3;
-/** The pressure up to which backfill may bring a task: just below its
+/** Pressure up to which backfill may raise a serving task, just below its
  * objective. */
 constexpr double kMostPressure = 0.98;
-/** Above this use a queue's latency tells no more how full it is. */
+/** Utilisation above which latency no longer indicates utilisation. */
 constexpr double kMostUtilisation = 0.97;
 
-/** A pair that was never seen: between the many that cost nothing and the few
- * that cost much. */
+/** Prior of an unknown pair: most pairs cost nothing and a few cost much, so
+ * the mean lies between them and the deviation is wide. */
 constexpr double kFirstCost = 0.05;
 constexpr double kFirstDeviation = 0.12;
-/** Variance that a second adds: pairs change, within a minute or so. */
+/** Variance added per second, because the cost of a pair changes within about a
+ * minute. */
 constexpr double kDriftPerSecond = 2e-4;
-/** Deviation of one figure, as a share of capacity: whole milliseconds, half a
- * second of users. */
+/** Standard deviation of one measurement, as a share of capacity. Latencies are
+ * whole milliseconds and cover half a second of requests. */
 constexpr double kFigureDeviation = 0.08;
 
 constexpr double
@@ -170,15 +172,15 @@
   }
   const double used = Utilisation(aServing, aPressure);
   if (used >= kMostUtilisation && expected >= used) {
-    return; // It is full, as expected; how much too full can't be seen.
+    return; // Saturated as expected; the excess cannot be measured.
   }
   const double error = used - expected;
   load.Correct(error, load.Figure().variance_ / variance);
   for (const Term& term : terms) {
     LearnedFigure& cost = *term.cost_;
     cost.Correct(error, cost.variance_ * term.weight_ / variance, term.weight_);
-    // A neighbour never speeds a task up; a negative figure is noise that would
-    // be paid for by a wrong figure elsewhere.
+    // A neighbour never speeds a task up. A negative cost is noise and would
+    // distort the load and the costs of other pairs.
     cost.mean_ = std::clamp(cost.mean_, 0.0, 1.0);
   }
 }
--- a/Source/Version/ContentionModel.h
+++ b/Source/Version/ContentionModel.h
@@ -12,17 +12,17 @@
 
 namespace cactusrail {
 
-/** What backfill takes of a serving task's capacity, 0 to 1, for each tenth of
- * the worker's processors that it may use. */
+/** Share of a serving task's capacity, 0 to 1, that backfill takes for each
+ * tenth of the worker's processors that it may use. */
 struct ContentionCost
 {
   double mean_ = 0;
-  /** Its standard deviation. */
+  /** Standard deviation of mean_. */
   double doubt_ = 0;
 };
 
-/** What was learned, for a successor; by names, as numbers end with a process.
- */
+/** Learned state that one scheduler process hands to the next. Images are
+ * identified by name, because their numbers are valid in one process only. */
 struct LearnedContention
 {
   struct Pair
@@ -62,62 +62,68 @@
 };
 
 /**
- * How much backfill takes of the serving tasks beside it, learned from their
- * tail latencies. Owned by BackfillInterference. Pure.
+ * Estimates how much capacity backfill takes from the serving tasks on the same
+ * worker, from the tail latencies of the serving tasks. Owned by
+ * BackfillInterference. Does no I/O and reads no clock.
  *
- * A tail latency grows as that of a queue, as 1 / (1 - utilisation): the same
- * neighbour that adds a tenth to the latency at a low load makes it ten times
- * as long at a high one. Costs that are summed as latencies were therefore
- * wrong by that factor either way, as the load moves within seconds. As shares
- * of capacity they are the same at all loads, and add up:
+ * Tail latency is modelled as that of a queue, 1 / (1 - utilisation). A
+ * neighbour that adds a tenth to the latency at low load makes it ten times as
+ * long at high load, and the load changes within seconds. Costs expressed as
+ * latencies are therefore wrong by up to that factor in either direction. Costs
+ * expressed as shares of capacity do not depend on the load and can be summed:
  *
  *   pressure = base / (1 - load - sum of costs)
  *
- * The load is learned for each job, the costs for each pair of images, by a
- * Kalman filter without cross terms.
+ * The load is estimated per job and the cost per pair of images, by a Kalman
+ * filter without covariance terms.
  */
 class ContentionModel
 {
 public:
   using Image = std::uint32_t;
 
-  /** The number of an image; the same name always has the same one. */
+  /** Returns the number of an image and assigns one to a new name. */
   Image Number(std::string_view aName);
 
-  /** The tail latency over its objective that was reported of a serving task;
-   * it tells the least one of its image. */
+  /** Updates the lowest pressure of an image. aPressure is the reported tail
+   * latency of a serving task divided by its objective. */
   void OnReported(Image aServing, double aPressure);
 
-  /** Its pressure at one moment, beside these backfill tasks, weighted by their
-   * pace. */
+  /** Updates the load of the job and the costs of its neighbours with the
+   * pressure measured at one time. aBeside holds the backfill tasks that ran on
+   * the worker at that time, weighted by their pace. */
   void OnMeasured(Image aServing,
                   const std::string& aJob,
                   double aPressure,
                   std::span<const Neighbour> aBeside,
                   Instant aMeasuredAt);
 
-  /** The share of its capacity that a serving task uses at this pressure. */
+  /** Returns the share of its capacity that a serving task uses at this
+   * pressure. */
   double Utilisation(Image aServing, double aPressure) const;
-  /** The most that it may use, all told, to keep its objective. */
+  /** Returns the highest utilisation, by load and neighbours together, at which
+   * a serving task meets its objective. */
   double Limit(Image aServing) const;
-  /** The most that the job's own users will use within this time. */
+  /** Returns the highest utilisation by the job's own requests that is expected
+   * within this time. */
   double LoadWithin(const std::string& aJob, Millis aAhead) const;
+  /** Returns the learned cost of a pair, or the prior for an unknown pair. */
   ContentionCost CostOf(Image aServing, Image aBackfill) const;
 
-  /** Sets what a pair costs, as an operator's knowledge. */
+  /** Sets the cost of a pair to a known value with zero variance. */
   void Teach(Image aServing, Image aBackfill, double aCost, Instant aNow);
 
   LearnedContention Export() const;
-  /** Takes up what another model learned; pairs known here stay as they are. */
+  /** Merges the state of another model; pairs known here are unchanged. */
   void Import(const LearnedContention& aLearned, Instant aNow);
 
-  /** Forgets the loads of jobs not measured since. */
+  /** Removes the loads of jobs that have no measurement since aTime. */
   void ForgetBefore(Instant aTime);
 
 private:
   struct Serving
   {
-    /** Lowest pressure seen, at its lowest load. */
+    /** Lowest pressure reported, taken as that of the lowest load. */
     double leastPressure_ = 0;
     std::uint32_t figures_ = 0;
     std::map<Image, LearnedFigure> costs_;
--- a/Source/Version/DurationModel.cxx
+++ b/Source/Version/DurationModel.cxx
@@ -7,13 +7,13 @@
 
 namespace {
 
-/** Estimates are believed until as many steps as these have shown otherwise. */
+/** Weight, in steps, of the prior that estimates are accurate on average. */
 constexpr double kTrustInMean = 1;
-/** The same for the slope, as a sum of squares: that of some four steps whose
- * estimates differ by a factor of three. */
+/** Weight of the prior that the slope is 1, as a sum of squares: that of about
+ * four steps whose estimates differ by a factor of three. */
 constexpr double kTrustInSlope = 4;
-/** Steps that are remembered: two minutes of the batch jobs, and half a minute
- * of the urgent ones, of a fleet of eleven workers. */
+/** Number of steps over which old samples decay. With eleven workers this is
+ * about two minutes of batch steps or half a minute of urgent steps. */
 constexpr double kMemory = 200;
 
 }
--- a/Source/Version/DurationModel.h
+++ b/Source/Version/DurationModel.h
@@ -8,32 +8,34 @@
 namespace cactusrail {
 
 /**
- * How long a step's tasks take, learned from what tasks of the same queue took
- * beside their callers' estimates. Owned by the scheduler. Pure.
+ * Predicts the duration of a step's tasks from the measured durations and the
+ * callers' estimates of earlier tasks of the same queue. Owned by the
+ * scheduler. Does no I/O and reads no clock.
  *
- * Callers' estimates differ more than what their steps really take. So the
- * logarithm of a duration is a line over the logarithm of the estimate, whose
- * slope is learned: 1 where estimates are right, 0 where they say nothing.
+ * Callers' estimates vary more than the durations of their steps. The logarithm
+ * of the duration is therefore modelled as a linear function of the logarithm
+ * of the estimate. Its slope is learned: 1 if estimates are accurate, 0 if they
+ * are unrelated to the duration.
  */
 class DurationModel
 {
 public:
   /**
-   * A task with this estimate took so long at full speed. A weight of one over
-   * the step's count makes its tasks count once together: they share their
-   * estimate and its error.
+   * Adds the duration of one task, converted to full speed. With a weight of 1
+   * divided by the task count of the step, all tasks of a step together weigh
+   * as much as one: they share one estimate and its error.
    */
   void OnTook(std::string_view aQueue,
               std::int64_t aEstimateMs,
               double aTookMs,
               double aWeight);
 
-  /** In ms; 0 if the caller gave no estimate. */
+  /** Returns the predicted duration in ms; 0 if the caller gave no estimate. */
   double ExpectedMillis(std::string_view aQueue,
                         std::int64_t aEstimateMs) const;
 
 private:
-  /** Weighted sums of the logarithms, around their means. */
+  /** Weighted linear regression over logarithms, with sums around the means. */
   struct Line
   {
     double weight_ = 0;
--- a/Source/Version/FairShare.h
+++ b/Source/Version/FairShare.h
@@ -12,30 +12,35 @@
 namespace cactusrail {
 
 /**
- * Which tenant's batch work is placed next: the one that holds the least
- * processors beside its share, among those below their quota. Holds what is
- * placed, not what was ever run, so a tenant that was idle gets no arrears with
- * which to push the others out. Pure.
+ * Selects the tenant whose batch work is placed next: the one with the lowest
+ * ratio of allocated processors to its share, among those below their quota.
+ * Only current allocations count, not past usage, so a tenant that was idle
+ * accumulates no credit with which it could displace the others. Does no I/O
+ * and reads no clock.
  */
 class FairShare
 {
 public:
+  /** The next task of one tenant. */
   struct Waiting
   {
     std::string_view tenant_;
     std::int64_t milliCpus_ = 0;
   };
 
-  /** aQuotaMilliCpus of 0 means that the tenant has no quota. */
+  /** Sets the share and the quota of a tenant; aQuotaMilliCpus of 0 means no
+   * quota. */
   void SetTenant(std::string_view aTenant,
                  std::uint32_t aShare,
                  std::int64_t aQuotaMilliCpus);
   void OnPlaced(std::string_view aTenant, std::int64_t aMilliCpus);
   void OnEnded(std::string_view aTenant, std::int64_t aMilliCpus);
 
-  /** The index of the task to place next, one waiting task a tenant. */
+  /** Returns the index of the task to place next. aWaiting holds one task per
+   * tenant. */
   std::optional<std::size_t> Next(std::span<const Waiting> aWaiting) const;
-  /** Whether the tenant's quota takes that much more. */
+  /** Returns whether an additional allocation stays within the tenant's quota.
+   */
   bool IsWithinQuota(std::string_view aTenant, std::int64_t aMilliCpus) const;
 
 private:
@@ -47,7 +52,7 @@
   };
   struct NameHash
   {
-    // NOLINTNEXTLINE(readability-identifier-naming): the standard names it so.
+    // NOLINTNEXTLINE(readability-identifier-naming): required by the standard.
     using is_transparent = void;
     std::size_t operator()(std::string_view aName) const
     {
--- a/Source/Version/InterferenceHistory.cxx
+++ b/Source/Version/InterferenceHistory.cxx
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** No report is older than this when it arrives; older ones are not used. */
+/** Maximum age of a report at its arrival; older reports are not used. */
 constexpr Millis kKept{ 10000 };
 
 std::vector<Neighbour>
--- a/Source/Version/InterferenceHistory.h
+++ b/Source/Version/InterferenceHistory.h
@@ -13,19 +13,21 @@
 namespace cactusrail {
 
 /**
- * Which tasks ran on a worker when. A measurement arrives a second or more
- * after it was taken; blaming the neighbours of its arrival would blame a task
- * that was started since. Bounded: keeps what the latest reports can ask for.
+ * Records which tasks ran on each worker over time. A measurement arrives a
+ * second or more after it was taken; attributing it to the neighbours at its
+ * arrival would include tasks that started in between. Keeps only the period
+ * that the latest reports can refer to.
  */
 class InterferenceHistory
 {
 public:
-  /** The worker runs these from now on. */
+  /** Records the tasks that a worker runs from aNow on. */
   void Record(std::string_view aWorker,
               std::span<const Neighbour> aNeighbours,
               Instant aNow);
 
-  /** The mean weights of its neighbours between two times. */
+  /** Returns the time-weighted mean of the worker's neighbours between two
+   * times. */
   std::vector<Neighbour> Mean(std::string_view aWorker,
                               Instant aFrom,
                               Instant aTo) const;
--- a/Source/Version/InterferenceModel.cxx
+++ b/Source/Version/InterferenceModel.cxx
@@ -7,6 +7,8 @@
 
 namespace {
 
+/** Standard deviation of the prior latency without neighbours, relative to the
+ * first measured latency. */
 constexpr double kAloneDeviation = 0.15;
 
 double
@@ -126,8 +128,8 @@
     estimate.mean_ += gain * error;
     estimate.variance_ *= 1 - gain * term.weight_;
     if (term.estimate_ != &victim.alone_) {
-      // A neighbour never speeds a victim up; a negative figure is noise that
-      // would be paid for by a wrong figure elsewhere.
+      // A neighbour never speeds a victim up. A negative slowdown is noise and
+      // would distort the other estimates.
       estimate.mean_ = std::max(0.0, estimate.mean_);
     }
   }
--- a/Source/Version/InterferenceModel.h
+++ b/Source/Version/InterferenceModel.h
@@ -12,7 +12,8 @@
 
 namespace cactusrail {
 
-/** A program beside a victim: how many tasks of it, weighted by throttle. */
+/** A program on the same worker as a victim, with the number of its tasks
+ * weighted by their throttle. */
 struct Neighbour
 {
   std::uint32_t program_ = 0;
@@ -20,11 +21,13 @@
 };
 
 /**
- * What a task of one program costs one of another, learned online from late
- * measurements. For each pair two slowdowns are kept, beside an idle and beside
- * a fully loaded victim; between them it is taken as linear. Each has a mean
- * and a variance (a Kalman filter without cross terms): a program never seen
- * has the prior, and what is not seen for long returns towards doubt. Pure.
+ * Estimates how much a task of one program slows down a task of another, online
+ * and from delayed measurements. Each pair has two slowdowns, for an idle and
+ * for a fully loaded victim, with linear interpolation between them. Each
+ * slowdown has a mean and a variance (a Kalman filter without covariance
+ * terms). An unknown program has the prior, and the variance of a pair that is
+ * not observed grows back towards that of the prior. Does no I/O and reads no
+ * clock.
  */
 class InterferenceModel
 {
@@ -35,25 +38,25 @@
   {
     double priorMean_ = 0.01;
     double priorDeviation_ = 0.03;
-    /** Doubt that a second adds to the variance of every pair. */
+    /** Variance added to every pair per second. */
     double driftPerSecond_ = 4e-6;
-    /** Deviation of the relative latency of a single request. */
+    /** Standard deviation of the relative latency of a single request. */
     double sampleDeviation_ = 0.55;
-    /** Error that more samples don't remove. */
+    /** Standard deviation of the error that more samples do not reduce. */
     double modelDeviation_ = 0.03;
   };
 
   explicit InterferenceModel(const Rules& aRules);
 
-  /** The number of a program; the same name always has the same one. */
+  /** Returns the number of a program and assigns one to a new name. */
   Program Number(std::string_view aName);
-  /** The same without giving a new one; kUnknown if it has none. */
+  /** Returns the number of a program, or kUnknown if it has none. */
   Program Find(std::string_view aName) const;
   static constexpr Program kUnknown = UINT32_MAX;
 
   /**
-   * A measurement of a victim beside these neighbours. The neighbours and the
-   * load must be those of the time measured, not of the time of arrival.
+   * Updates the model with a measured latency of a victim. The neighbours and
+   * the load must be those at the time of the measurement, not at its arrival.
    */
   void OnMeasured(Program aVictim,
                   std::span<const Neighbour> aNeighbours,
@@ -62,18 +65,21 @@
                   double aSamples,
                   Instant aMeasuredAt);
 
-  /** Sets a pair's figures, as an operator's or an oracle's knowledge. */
+  /** Sets the slowdowns of a pair to known values, given by an operator or an
+   * oracle. */
   void Teach(Program aVictim,
              Program aAggressor,
              double aIdle,
              double aLoaded,
              Instant aNow);
 
-  /** Slowdown that one unthrottled task adds to the victim at this load. */
+  /** Returns the slowdown that one unthrottled task adds to the victim at this
+   * load. */
   double Cost(Program aVictim, Program aAggressor, double aLoad) const;
-  /** The standard deviation of that figure. */
+  /** Returns the standard deviation of Cost(). */
   double Doubt(Program aVictim, Program aAggressor, double aLoad) const;
-  /** The measured latency over what the victim takes alone, as learned. */
+  /** Returns the ratio of aLatency to the learned latency of the victim without
+   * neighbours. */
   double Slowdown(Program aVictim, double aLatency) const;
 
 private:
@@ -101,7 +107,7 @@
 
   struct NameHash
   {
-    // NOLINTNEXTLINE(readability-identifier-naming): the standard names it so.
+    // NOLINTNEXTLINE(readability-identifier-naming): required by the standard.
     using is_transparent = void;
     std::size_t operator()(std::string_view aName) const
     {
--- a/Source/Version/LearnedPlacement.cxx
+++ b/Source/Version/LearnedPlacement.cxx
@@ -14,20 +14,22 @@
 
 namespace {
 
-/** Reported use lags behind what runs: the tasks must have been the same for
- * this long before it says anything about them. */
+/** Time for which a worker's tasks must be unchanged before its report is used,
+ * because reported usage lags behind the running tasks. */
 constexpr Millis kSettled{ 2000 };
-/** One worker's reports teach this often, however often it is asked. */
+/** Minimum interval between two reports of one worker that are used. */
 constexpr Millis kLearnEvery{ 1000 };
-/** A task that fits as declared is held back this long at most. */
+/** Maximum time for which a task that fits by its declared size is deferred. */
 constexpr Millis kLongestWait{ 10000 };
-/** A task not asked for in this time is placed elsewhere or was stopped. */
+/** Time without a placement request after which a deferred task is removed: it
+ * was placed elsewhere or stopped. */
 constexpr Millis kForgetAfter{ 60000 };
 constexpr const char* kUrgentWork = "urgent work";
 
-/** Part of an error that one report corrects. */
+/** Share of an error that one report corrects. */
 constexpr double kStep = 0.3;
-/** Keeps a program that is lost beside larger ones from standing at zero. */
+/** Lower limit of a ratio, so that a program that runs next to much larger ones
+ * is not estimated as zero. */
 constexpr double kLeastRatio = 0.01;
 
 std::int64_t
@@ -50,19 +52,21 @@
   {
   }
 
-  /** The tasks that a worker last reported, and since when just these. */
+  /** Tasks in a worker's latest report, and the time since which they are the
+   * same. */
   struct Watched
   {
     std::vector<std::string> taskIds_;
     Instant since_;
     Instant learnedAt_;
   };
+  /** A deferred task. */
   struct Held
   {
     Instant since_;
     Instant askedAt_;
   };
-  /** Used over declared, without spread or caution. */
+  /** Ratios of used to declared resources, without variance or prior. */
   struct Ratios
   {
     double cpu_ = 1;
@@ -106,11 +110,12 @@
   return true;
 }
 
-/** A worker states only what all its tasks take together. The difference to
- * what was expected of them is laid on each program by its size (a normalized
- * gradient step): where programs run in different company, the ratios come to
- * those of each alone. The cautious figures of the estimate can't serve here:
- * what is in doubt would get the larger part, and stay in doubt. */
+/** A worker reports only the total usage of its tasks. The difference to the
+ * expected total is distributed over the programs in proportion to their
+ * declared sizes (a normalized gradient step). If programs run in different
+ * combinations, the ratios converge to those of each program alone. The
+ * conservative values of UsageEstimate are unsuitable here: an uncertain
+ * program would be assigned a larger part and stay uncertain. */
 void
 LearnedPlacement::Private::Learn(const WorkerUsage& aUsage)
 {
@@ -195,9 +200,9 @@
 {
   std::optional<std::size_t> chosen =
     private_->engine_.Choose(aTask, aWorkers, aNow);
-  // Where a task is expected to need more than any worker has, or a small cell
-  // keeps all its workers open, the engine would refuse it for ever: the job
-  // was accepted by its declared size and would just never start.
+  // If the expected usage of a task exceeds the capacity of every worker, or
+  // all workers of a small cell are kept open, the engine never places the
+  // task. The job was accepted by its declared size and would never start.
   if (!chosen.has_value() && private_->HeldTooLong(aTask.taskId_, aNow)) {
     chosen = private_->firstFit_.Choose(aTask, aWorkers, aNow);
   }
@@ -210,7 +215,8 @@
 void
 LearnedPlacement::OnUsage(const WorkerUsage& aUsage, Instant aNow)
 {
-  // A worker that measures nothing says nothing about its tasks.
+  // A worker that does not measure usage reports zero, which is not evidence
+  // about its tasks.
   const bool measured =
     aUsage.used_.milliCpus_ > 0 || aUsage.used_.memoryMb_ > 0;
   if (private_->HasSettled(aUsage, aNow) && measured) {
--- a/Source/Version/LearnedPlacement.h
+++ b/Source/Version/LearnedPlacement.h
@@ -12,10 +12,11 @@
 namespace cactusrail {
 
 /**
- * Places by what programs were seen to take, beside what they declare. A
- * PlacementPolicy that owns its models and learns from the workers' reports; it
- * holds a task back where it expects too little room, but never for long and
- * never places beyond the declared size. Pure; owned by a scheduler's core.
+ * Places tasks by the observed and the declared usage of their programs. A
+ * PlacementPolicy that owns its models and learns from the workers' reports. A
+ * task whose expected usage fits on no worker is deferred for a limited time,
+ * then placed by its declared size, which is never exceeded. Does no I/O and
+ * reads no clock; owned by a scheduler's core.
  */
 class LearnedPlacement
 {
@@ -29,7 +30,8 @@
                                     std::span<const WorkerFacts> aWorkers,
                                     Instant aNow);
 
-  /** A worker has said what its tasks take together. */
+  /** Updates the models with a worker's report of the total usage of its tasks.
+   */
   void OnUsage(const WorkerUsage& aUsage, Instant aNow);
 
   ExpectedUsage Expect(std::string_view aProgram,
--- a/Source/Version/PlacementChooser.h
+++ b/Source/Version/PlacementChooser.h
@@ -7,7 +7,7 @@
 
 namespace cactusrail {
 
-/** A placement policy behind one type, so that only its choice is templated. */
+/** Type-erased placement policy, so that only MakeChooser() is a template. */
 class PlacementChooser
 {
 public:
@@ -16,11 +16,12 @@
     const TaskFacts& aTask,
     std::span<const WorkerFacts> aWorkers,
     Instant aNow) = 0;
-  /** Only reports that name every task that is counted there. */
+  /** Updates a learning policy. aUsage must name every task that the scheduler
+   * counts on that worker. */
   virtual void OnUsage(const WorkerUsage& aUsage, Instant aNow) = 0;
 };
 
-/** Wraps whatever satisfies the concept; a policy that learns gets reports. */
+/** Wraps a policy; OnUsage() is forwarded if the policy has such a method. */
 template<PlacementPolicy Policy>
 std::unique_ptr<PlacementChooser>
 MakeChooser(Policy aPolicy)
--- a/Source/Version/PlacementEngine.cxx
+++ b/Source/Version/PlacementEngine.cxx
@@ -7,9 +7,11 @@
 
 namespace {
 
-/** Reports lag; a placement may be missing from one this much younger. */
+/** Reports lag behind placements: a report up to this much later than a
+ * placement may not include it. */
 constexpr Millis kReportSettle{ 300 };
-/** Load that a runner is taken to reach soon, whatever it reports now. */
+/** Lower limit of the urgent load used for scoring, because the load of an idle
+ * runner may rise soon. */
 constexpr double kLeastLoad = 0.2;
 constexpr double kHalfLoad = 0.5;
 constexpr double kPackingWeight = 0.02;
@@ -91,7 +93,7 @@
 PlacementEngine::ServiceScore(const TaskFacts& aTask,
                               const WorkerFacts& aWorker) const
 {
-  // Replicas of one service apart, so that a host's failure takes one.
+  // Spreads replicas of a service, so that a host failure stops only one.
   const auto same = std::count(
     aWorker.programs_.begin(), aWorker.programs_.end(), aTask.program_);
   return static_cast<double>(same) * kSameProgramPenalty +
@@ -160,8 +162,8 @@
       continue;
     }
     if (!urgent) {
-      // Batch work that fills the last open workers would make the next urgent
-      // task wait for a checkpoint or cost an eviction.
+      // If batch work filled the last open workers, the next urgent task would
+      // have to wait for a checkpoint or cause an eviction.
       Resources after = worker.reserved_;
       after += aTask.declared_;
       const bool closes =
--- a/Source/Version/PlacementEngine.h
+++ b/Source/Version/PlacementEngine.h
@@ -14,32 +14,38 @@
 namespace cactusrail {
 
 /**
- * Chooses workers by declared size, learned use and learned interference. A
- * PlacementPolicy: never chooses where the declared size does not fit. Pure;
- * owned by a scheduler, which feeds the two models it reads.
+ * Chooses workers by declared size, learned usage and learned interference.
+ * Satisfies PlacementPolicy: never chooses a worker where the declared size
+ * does not fit. Does no I/O and reads no clock. The owning scheduler updates
+ * the two models.
  */
 class PlacementEngine
 {
 public:
   struct Rules
   {
-    /** Workers that are scored in one choice; the rest only if none fits. */
+    /** Number of suitable workers that are scored per choice. */
     std::size_t scored_ = 24;
-    /** Workers on which batch work leaves room for one urgent task. */
+    /** Number of workers on which batch work leaves capacity for one urgent
+     * task. */
     std::size_t workersKeptOpen_ = 2;
-    /** Expected use of processors may fill this part of a worker. */
+    /** Upper limit of the expected processor usage, as a share of capacity. */
     double processorLimit_ = 1.15;
-    /** The same for memory, where more than all of it kills a task. */
+    /** Upper limit of the expected memory usage, as a share of capacity. Tasks
+     * are killed beyond 1. */
     double memoryLimit_ = 1.0;
-    /** Weight of harm to urgent work beside packing. */
+    /** Weight of the slowdown of urgent work relative to packing. */
     double harmWeight_ = 1.0;
-    /** A program that slows urgent work this much at half load is loud. */
+    /** Slowdown of urgent work at half load above which a program counts as
+     * disruptive. */
     double loudCost_ = 0.03;
-    /** Part of the workers that loud programs are sent to. */
+    /** Share of the workers that are designated for disruptive programs. */
     double loudPart_ = 0.2;
-    /** Sum of costs up to which a loud task may go elsewhere. */
+    /** Sum of slowdowns on another worker up to which a disruptive task may be
+     * placed there. */
     double quietLimit_ = 0.0;
-    /** Quiet tasks keep off the loud workers while a loud one waits. */
+    /** Time after the rejection of a disruptive task during which other batch
+     * tasks are not placed on the designated workers. */
     Millis loudWaits_{ 3000 };
   };
 
@@ -54,7 +60,7 @@
                                     Instant aNow);
 
 private:
-  /** Placed here, but not in the worker's latest report yet. */
+  /** A placement that the worker's latest report does not include yet. */
   struct Pending
   {
     Resources resources_;
@@ -80,9 +86,9 @@
   const InterferenceModel& interference_;
   InterferenceModel::Program victim_;
   std::uint64_t random_;
-  /** When a loud task last found no room among the loud workers. */
+  /** Time at which a disruptive task was last rejected on all workers. */
   std::optional<Instant> loudRefusedAt_;
-  /** The largest urgent task seen. */
+  /** Largest processor and memory sizes declared by an urgent task so far. */
   Resources urgentSize_;
   std::unordered_map<std::string, std::vector<Pending>> pending_;
 };
--- a/Source/Version/PlacementFacts.h
+++ b/Source/Version/PlacementFacts.h
@@ -21,29 +21,31 @@
   Resources declared_;
 };
 
-/** A worker that might take it. */
+/** A worker that is considered for a task. */
 struct WorkerFacts
 {
   std::string workerId_;
   std::string dataCentre_;
   std::string rack_;
   Resources capacity_;
-  /** What the table's record counts as taken, known or in doubt. */
+  /** Resources allocated in the table's record, including those of tasks with
+   * unknown outcome. */
   Resources reserved_;
-  /** The programs of the tasks that are counted there, one entry a task. */
+  /** Programs of the tasks allocated there, one element per task. */
   std::vector<std::string> programs_;
-  /** How many of them are urgent. */
+  /** Number of urgent tasks among them. */
   std::uint32_t urgentTasks_ = 0;
-  /** Part of the slots of the runner there that were busy, as last reported. */
+  /** Share of the runner's slots that were busy in the latest report. */
   double urgentLoad_ = 0;
-  /** Latest reported use; late by reportAge. */
+  /** Latest reported usage, as of reportedAt_. */
   Resources used_;
   Instant reportedAt_;
-  /** Takes nothing new: drained, suspected of failing everything, silent. */
+  /** Cordoned, receives no new tasks: drained, suspected of failing all tasks,
+   * or unresponsive. */
   bool setAside_ = false;
 };
 
-/** A task that a worker says it runs. */
+/** A task that a worker reports as running. */
 struct TaskUsage
 {
   std::string taskId_;
@@ -51,7 +53,7 @@
   Resources declared_;
 };
 
-/** What a worker reports of all its tasks; states the sum of their use. */
+/** Report of a worker about all its tasks, with the sum of their usage. */
 struct WorkerUsage
 {
   std::string workerId_;
@@ -60,8 +62,9 @@
 };
 
 /**
- * Chooses the worker for a task, or none. Pure; never chooses a worker that is
- * set aside or where the declared size does not fit beside what is reserved.
+ * Chooses the worker for a task, or none. Never chooses a cordoned worker or
+ * one where the declared size does not fit next to the reserved resources. Does
+ * no I/O and reads no clock.
  */
 template<typename Policy>
 concept PlacementPolicy = requires(Policy& aPolicy,
@@ -74,7 +77,7 @@
     } -> std::same_as<std::optional<std::size_t>>;
 };
 
-/** The first worker where it fits; the baseline. */
+/** Baseline policy: chooses the first worker where the task fits. */
 class FirstFitPlacement
 {
 public:
--- a/Source/Version/Reaction.cxx
+++ b/Source/Version/Reaction.cxx
@@ -9,17 +9,18 @@
 namespace {
 
 constexpr double kSlowdownSmoothing = 0.4;
-/** Below this a report says too little to act on. */
+/** Minimum sample count of a report that is used. */
 constexpr double kFewSamples = 5;
 constexpr double kLeastLoad = 0.1;
 constexpr double kMostLoad = 0.95;
-/** A task's relief is not worth a step below this. */
+/** Minimum slowdown caused by a task for which a step is taken. */
 constexpr double kLeastCost = 0.002;
-/** Price of a move, as part of an eviction's. */
+/** Price of a move relative to that of an eviction. */
 constexpr double kMovePart = 0.15;
-/** What a lost payout weighs beside another task's lost progress. */
+/** Weight of a lost payout relative to the lost progress of another task. */
 constexpr double kPayoutFactor = 10;
-/** Scales urgent harm, slowdown times load, to the price of an eviction. */
+/** Converts the harm to urgent work, slowdown times load, to the scale of
+ * eviction prices. */
 constexpr double kHarmFactor = 20;
 
 }
@@ -120,8 +121,9 @@
                          ? aLeft.density_ > aRight.density_
                          : aLeft.task_ < aRight.task_;
               });
-    // The model knows at once what was placed or throttled; the measurement
-    // knows waves that the model doesn't. Their mean reacts to both.
+    // The prediction reflects placements and throttles at once; the measurement
+    // reflects load changes that the model does not cover. Their mean responds
+    // to both.
     const double excess = (predicted + memory.slowdown_) / 2 - 1;
     const double allowed = AllowedAt(worker.urgentLoad_);
     if (excess <= allowed) {
@@ -187,8 +189,9 @@
 {
   const double harm =
     weights_.tailLatency_ * aExcess * aWorker.urgentLoad_ * kHarmFactor;
-  // The cheapest step that is worth it. A payout that has not checkpointed is
-  // priced above all else, so it goes only where nothing gentler is open.
+  // Selects the cheapest step whose price does not exceed the harm. A payout
+  // without a checkpoint has the highest price, so it is evicted only if no
+  // cheaper step is possible.
   std::optional<ReactionStep> best;
   double bestPrice = harm;
   for (const Candidate& candidate : aCandidates) {
--- a/Source/Version/Reaction.h
+++ b/Source/Version/Reaction.h
@@ -15,34 +15,34 @@
 
 namespace cactusrail {
 
-/** A running task as the reaction sees it. */
+/** A running task as input to Reaction. */
 struct RunningTask
 {
   std::string taskId_;
   std::string program_;
   Resources declared_;
-  /** Part of its full speed that it may use now; 1 is unthrottled. */
+  /** Share of its full speed that the task may use; 1 is unthrottled. */
   double throttle_ = 1;
   bool urgent_ = false;
-  /** Losing its progress risks a lost or doubled payment. */
+  /** Loss of its progress may cause a lost or duplicate payment. */
   bool payout_ = false;
   bool canCheckpoint_ = false;
-  /** Its progress up to now is safe, or there is none yet. */
+  /** All progress is in a checkpoint, or there is none yet. */
   bool checkpointed_ = false;
-  /** A move or an eviction of it is under way. */
+  /** A move or an eviction of the task is in flight. */
   bool leaving_ = false;
   Instant startedAt_;
 };
 
-/** A worker and what presses on it. */
+/** A worker with the load and latency of its urgent work. */
 struct PressedWorker
 {
   std::string workerId_;
   Resources capacity_;
   Resources reserved_;
-  /** Part of the runner's slots that were busy, as last reported. */
+  /** Share of the runner's slots that were busy in the latest report. */
   double urgentLoad_ = 0;
-  /** Mean latency of urgent work there, as last reported, and of how many. */
+  /** Mean latency of urgent work in the latest report, and its sample count. */
   double latencyMicros_ = 0;
   double samples_ = 0;
   Instant measuredAt_;
@@ -54,25 +54,25 @@
 {
   Throttle,
   Restore,
-  /** Checkpoint it, stop it, place it again. */
+  /** Checkpoint the task, stop it and place it again. */
   Move,
   Evict,
 };
 
-/** One step that the reaction asks for. */
+/** One action for the caller to carry out. */
 struct ReactionStep
 {
   ReactionKind kind_ = ReactionKind::Throttle;
   std::size_t worker_ = 0;
   std::size_t task_ = 0;
-  /** The new part of full speed, for Throttle and Restore. */
+  /** New share of full speed, for Throttle and Restore. */
   double throttle_ = 1;
 };
 
 /**
- * Answers pressure on urgent work: throttle first, then move by checkpoint,
- * then evict, each at the price that the deployment's weights give it. Pure;
- * one per scheduler.
+ * Relieves urgent work that batch work slows down: throttles batch tasks first,
+ * then moves them by checkpoint, then evicts them, each at the price set by the
+ * deployment's weights. Does no I/O and reads no clock; one per scheduler.
  */
 class Reaction
 {
@@ -80,18 +80,21 @@
   struct Rules
   {
     /**
-     * Urgent work may be slowed this much at half load if tail latency and
-     * batch work weigh the same; less the more tail latency weighs. At other
-     * loads it is what queueing makes of it: less on a busy runner, more on an
-     * idle one.
+     * Allowed slowdown of urgent work at half load if tail latency and batch
+     * throughput have equal weights; a higher weight of tail latency lowers the
+     * allowance. It scales with (1 - load) / load, as queueing does: smaller on
+     * a busy runner, larger on an idle one.
      */
     double allowedSlowdown_ = 0.8;
-    /** Throttles are released below this part of it; the gap is hysteresis. */
+    /** Share of the allowed slowdown below which throttles are released; the
+     * gap is hysteresis. */
     double releasePart_ = 0.7;
     double deepestThrottle_ = 0.25;
-    /** A worker is left alone this long after a step, as reports are late. */
+    /** Time without further steps on a worker after a step, because reports are
+     * delayed. */
     Millis settle_{ 1500 };
-    /** Pressure that no throttle ended must last this long before a move. */
+    /** Time for which an excessive slowdown must persist, with all throttles
+     * applied, before a move or an eviction. */
     Millis patience_{ 6000 };
     Millis evictionPeriod_{ 60000 };
     std::size_t evictionsPerPeriod_ = 2;
@@ -99,13 +102,16 @@
 
   Reaction(const Rules& aRules, const PolicyWeights& aWeights);
 
-  /** The steps to take now; the caller carries out all of them. */
+  /** Returns the steps to take now; the caller must carry out all of them. */
   std::vector<ReactionStep> Decide(std::span<const PressedWorker> aWorkers,
                                    const InterferenceModel& aModel,
                                    InterferenceModel::Program aVictim,
                                    Instant aNow);
 
-  /** The steps that make room for an urgent task, all on one worker. */
+  /** Returns the steps that free capacity for an urgent task, all on one
+   * worker; empty if none are needed or possible. The evictions count as
+   * carried out.
+   */
   std::vector<ReactionStep> MakeRoom(const Resources& aSize,
                                      std::span<const PressedWorker> aWorkers,
                                      Instant aNow);
@@ -113,20 +119,21 @@
 private:
   struct WorkerMemory
   {
-    /** Smoothed over reports; one report of a short second is mostly noise. */
+    /** Smoothed over reports, because a single one covers about a second and is
+     * mostly noise. */
     double slowdown_ = 1;
     Instant measuredAt_;
     std::optional<Instant> pressedSince_;
-    /** Left alone until then. */
+    /** Time before which no further steps are taken. */
     Instant settledAt_;
   };
 
   struct Candidate
   {
     std::size_t task_ = 0;
-    /** Slowdown that it adds unthrottled. */
+    /** Slowdown that the unthrottled task adds. */
     double cost_ = 0;
-    /** The same for each of its processors: relief beside work lost. */
+    /** cost_ per processor: the relief relative to the work lost. */
     double density_ = 0;
   };
 
@@ -135,7 +142,7 @@
                                 std::size_t aIndex,
                                 const RunningTask& aTask);
   std::size_t EvictionsLeft(Instant aNow);
-  /** Slowdown beyond 1 that is allowed at this load. */
+  /** Returns the slowdown beyond 1 that is allowed at this load. */
   double AllowedAt(double aLoad) const;
   void Observe(WorkerMemory& aMemory,
                const PressedWorker& aWorker,
--- a/Source/Version/ReturnPacing.h
+++ b/Source/Version/ReturnPacing.h
@@ -7,11 +7,11 @@
 namespace cactusrail {
 
 /**
- * Paces a process's writes to the table service after an outage. If every
- * process sent what it had held back at once, the service would go down again:
- * so each waits for a random part of a second, starts at a small rate, doubles
- * it while writes succeed and halves it when one fails. Pure; the caller brings
- * the random number.
+ * Limits the rate of a process's writes to the table service after an outage.
+ * If all processes sent their deferred writes at once, the service would be
+ * overloaded again. Each process waits for a random time up to longestWait_,
+ * starts at a low rate, doubles it while writes succeed and halves it when one
+ * fails. Does no I/O and reads no clock; the caller supplies random numbers.
  */
 class ReturnPacing
 {
@@ -26,16 +26,20 @@
 
   explicit ReturnPacing(const Rules& aRules);
 
-  /** The service can't be reached: only probes are sent, one at a time. */
+  /** Starts rate limiting after the service became unreachable. */
   void OnOutage(Instant aNow, std::uint64_t aRandom);
+  /** Doubles the rate at intervals of doubleEvery_; ends rate limiting above
+   * mostPerSecond_. */
   void OnSuccess(Instant aNow);
+  /** Halves the rate and adds a random wait; starts rate limiting if it is off.
+   */
   void OnFailure(Instant aNow, std::uint64_t aRandom);
 
-  /** Takes the right to send one write now, if there is one. */
+  /** Returns whether one write may be sent now, and counts it if so. */
   bool TryTake(Instant aNow);
-  /** When TryTake may succeed at the earliest. */
+  /** Returns the earliest time at which TryTake() can succeed. */
   Instant NextAt() const;
-  /** Whether writes are held back at all. */
+  /** Returns whether rate limiting is on. */
   bool IsPaced() const;
 
 private:
--- a/Source/Version/Selector.h
+++ b/Source/Version/Selector.h
@@ -10,14 +10,15 @@
 namespace cactusrail {
 
 /**
- * Chooses work by its labels: "team=clerks,urgency!=high,owner". All parts
- * must hold; a bare name asks that the label is there. The empty selector is
- * refused, so that a forgotten argument never stops everything; "*" chooses
- * all.
+ * Selects work by its labels, for instance "team=clerks,urgency!=high,owner".
+ * All parts must match; a name without a value requires that the label exists.
+ * "*" selects all work. An empty selector is an error, so that a missing
+ * argument cannot stop all work.
  */
 class Selector
 {
 public:
+  /** Fails with BadInput if a part has no label name. */
   static Result<Selector> Parse(std::string_view aText);
 
   bool Matches(const Labels& aLabels) const;
--- a/Source/Version/ServingLoad.cxx
+++ b/Source/Version/ServingLoad.cxx
@@ -6,16 +6,16 @@
 
 namespace {
 
-/** What is expected of a job that was never measured: services are sized to
- * have a third to spare. */
+/** Prior of a job without measurements: services are sized with about a third
+ * of their capacity to spare. */
 constexpr double kFirstLoad = 0.45;
 constexpr double kFirstDeviation = 0.2;
 constexpr double kFirstPeak = 0.65;
-/** Variance that a second adds. */
+/** Variance added per second. */
 constexpr double kDriftPerSecond = 0.01;
-/** Steepest rise, in load a second. */
+/** Maximum rise of the load per second. */
 constexpr double kSteepest = 0.1;
-/** A peak is forgotten by this much a second. */
+/** Decay of the peak per second. */
 constexpr double kForgetPeak = 0.004;
 constexpr double kMostLoad = 0.95;
 
--- a/Source/Version/ServingLoad.h
+++ b/Source/Version/ServingLoad.h
@@ -4,14 +4,14 @@
 
 namespace cactusrail {
 
-/** A figure that is learned, and the variance of what is known of it. */
+/** A learned value and the variance of its estimate. */
 struct LearnedFigure
 {
   double mean_ = 0;
   double variance_ = 0;
   Instant updatedAt_;
 
-  /** One step of a scalar Kalman filter: takes this part of the error. */
+  /** Performs one update of a scalar Kalman filter with the given gain. */
   void Correct(double aError, double aGain, double aWeight)
   {
     mean_ += aGain * aError;
@@ -20,28 +20,30 @@
 };
 
 /**
- * The load that a job's own users put on each of its serving tasks, as a share
- * of what one task can carry. It moves within seconds, and alike for all tasks
- * of a job, as they share its users: so one that runs beside nothing tells the
- * load of one beside backfill. Owned by ContentionModel. Pure.
+ * Estimates the load that a job's own requests put on each of its serving
+ * tasks, as a share of the capacity of one task. The load changes within
+ * seconds and equally for all tasks of a job, because requests are spread over
+ * them. A task without neighbours therefore shows the load of a task next to
+ * backfill. Owned by ContentionModel. Does no I/O and reads no clock.
  */
 class ServingLoad
 {
 public:
   explicit ServingLoad(Instant aNow);
 
-  /** Time has passed since the last measurement: the load is less sure. */
+  /** Increases the variance by the time since the last measurement. */
   void Advance(Instant aNow);
-  /** Takes its part of a measurement's error. */
+  /** Corrects the load by the error of a measurement with the given gain. */
   void Correct(double aError, double aGain);
 
   const LearnedFigure& Figure() const { return load_; }
-  /** The most that it may be within this time from the last measurement. */
+  /** Returns the upper limit of the load within this time from the last
+   * measurement. */
   double AtMost(Millis aAhead) const;
 
 private:
   LearnedFigure load_;
-  /** Highest load seen, slowly forgotten. */
+  /** Highest load observed, decaying slowly. */
   double peak_;
 };
 
--- a/Source/Version/UsageEstimate.cxx
+++ b/Source/Version/UsageEstimate.cxx
@@ -7,9 +7,11 @@
 
 namespace {
 
+/** Ratio of used to declared values for a program without observations. */
 constexpr double kUnseenRatio = 1.2;
-/** Observations that weigh as much as the first caution. */
+/** Weight of the prior ratio, in observations. */
 constexpr double kPriorWeight = 3;
+/** Number of observations over which old ones decay. */
 constexpr double kLongestMemory = 50;
 
 std::int64_t
@@ -87,7 +89,7 @@
     Scale(aDeclared.milliCpus_, program.cpu_.Cautious());
   expected.resources_.memoryMb_ =
     Scale(aDeclared.memoryMb_, program.memory_.Cautious());
-  // Accelerators are whole devices: a task holds what it declared.
+  // Accelerators are whole devices, so a task uses exactly what it declares.
   expected.resources_.accelerators_ = aDeclared.accelerators_;
   expected.runMs_ = static_cast<std::uint64_t>(
     Scale(static_cast<std::int64_t>(aDeclaredMs), program.run_.Cautious()));
--- a/Source/Version/UsageEstimate.h
+++ b/Source/Version/UsageEstimate.h
@@ -9,19 +9,20 @@
 
 namespace cactusrail {
 
-/** What a task is expected to take. */
+/** Expected resource usage and run time of a task. */
 struct ExpectedUsage
 {
   Resources resources_;
   std::uint64_t runMs_ = 0;
-  /** 0 if nothing was seen of the program, towards 1 with what was. */
+  /** 0 without observations of the program; approaches 1 as they accumulate. */
   double confidence_ = 0;
 };
 
 /**
- * What tasks of a program really take beside what they declare, learned from
- * running and finished tasks. It starts cautious: a program never seen is
- * expected to take a little more than declared. Pure.
+ * Estimates the resource usage and run time of a program's tasks relative to
+ * their declared values, from running and finished tasks. The estimate is
+ * conservative at first: a program without observations is expected to use
+ * somewhat more than declared. Does no I/O and reads no clock.
  */
 class UsageEstimate
 {
@@ -38,7 +39,7 @@
                        std::uint64_t aDeclaredMs) const;
 
 private:
-  /** Mean and spread of used over declared. */
+  /** Mean and variance of the ratio of used to declared values. */
   struct Ratio
   {
     double mean_ = 1;
@@ -56,7 +57,7 @@
   };
   struct NameHash
   {
-    // NOLINTNEXTLINE(readability-identifier-naming): the standard names it so.
+    // NOLINTNEXTLINE(readability-identifier-naming): required by the standard.
     using is_transparent = void;
     std::size_t operator()(std::string_view aName) const
     {
--- a/Source/Version/WorkTimings.h
+++ b/Source/Version/WorkTimings.h
@@ -5,44 +5,47 @@
 namespace cactusrail {
 
 /**
- * The spans that leases of cells and tasks are built from. Deadlines are kept;
- * these only make them. docs/design/work.md tells why each is as it is.
+ * Durations from which the leases of cells and tasks are computed. Stored state
+ * holds the resulting deadlines, not these durations. docs/design/work.md gives
+ * the reason for each value.
  */
 struct WorkTimings
 {
-  /** An owner acts for a cell this long after it sent its last write. */
+  /** Time for which an owner acts for a cell after it sent its last write. */
   Micros cellLease_ = std::chrono::seconds(10);
-  /** An idle owner writes its cell's row this often. */
+  /** Interval at which an idle owner writes its cell's row. */
   Micros beatEvery_ = std::chrono::seconds(3);
-  /** For drift and delay, beside every span that another clock counts. */
+  /** Margin for clock drift and delay, added to every duration that another
+   * clock measures. */
   Micros margin_ = std::chrono::seconds(1);
   /**
-   * The longest that one grant lets a task run.
+   * Maximum time for which one grant lets a task run.
    *
-   * It outlasts a change of the cell's owner: renewEvery_ since the last
-   * renewal, pollEvery_, cellLease_, margin_ and one rankDelay_ are 14 s; a
-   * host that freezes for 3 s and a lost answer of the table, tableTimeout_,
-   * make it 19 s. Tasks whose grants end before that may have run and are
-   * parked.
+   * It is longer than a change of the cell's owner takes: renewEvery_ since the
+   * last renewal, pollEvery_, cellLease_, margin_ and one rankDelay_ add up to
+   * 14 s. A host that freezes for 3 s and a lost response of the table,
+   * tableTimeout_, make it 19 s. A task whose grant ends earlier may have run
+   * and is parked.
    */
   Micros taskLease_ = std::chrono::seconds(20);
-  /** Grants may reach this far beyond the cell's lease: what a long outage of
-   * the table leaves running. */
+  /** Maximum time by which grants may extend beyond the cell's lease, so that
+   * tasks keep running during a long outage of the table. */
   Micros ownerGrace_ = std::chrono::seconds(300);
   Micros renewEvery_ = std::chrono::seconds(1);
   Micros pollEvery_ = std::chrono::seconds(1);
-  /** A worker that was not heard for so long gets nothing new. */
+  /** Time without a heartbeat after which a worker receives no new tasks. */
   Micros workerSilence_ = std::chrono::seconds(5);
   Micros callTimeout_ = std::chrono::seconds(2);
   Micros tableTimeout_ = std::chrono::seconds(2);
-  /** An entry whose row "entry/NAME" stands still for so long counts as gone;
-   * EntryPresence refreshes it every ten seconds. */
+  /** Time without a change of its row "entry/NAME" after which an entry counts
+   * as absent; EntryPresence refreshes the row every ten seconds. */
   Micros entrySilence_ = std::chrono::seconds(35);
-  /** A cell is handed only to an entry whose row is younger than this. */
+  /** Maximum age of the row of an entry to which a cell is handed over. */
   Micros entryFresh_ = std::chrono::seconds(15);
-  /** A cell goes to an entry that has been preferred for so long. */
+  /** Time for which an entry must be preferred before a cell is handed over to
+   * it. */
   Micros handOverAfter_ = std::chrono::seconds(10);
-  /** What a less preferred entry waits, a rank, before it takes a cell. */
+  /** Delay per rank before a less preferred entry claims a cell. */
   Micros rankDelay_ = std::chrono::seconds(1);
 };
 
--- a/Source/Version/WorkerHealth.cxx
+++ b/Source/Version/WorkerHealth.cxx
@@ -31,7 +31,8 @@
   Worker& worker = workers_[workerName];
   Job& job = jobs_[jobName];
   if (worker.setAside_) {
-    // Known to be bad: says nothing about the job, and the probe has failed.
+    // The probe of a cordoned worker failed; this is no evidence against the
+    // job.
     SetAside(workerName, worker, aNow);
     return;
   }
--- a/Source/Version/WorkerHealth.h
+++ b/Source/Version/WorkerHealth.h
@@ -11,20 +11,25 @@
 namespace cactusrail {
 
 /**
- * Tells a worker that fails everything from a job that fails everywhere, by
- * evidence over both: a failure counts against the worker unless the job is
- * known to be impossible, and against the job unless the worker is known to be
- * bad. Learning the one takes the blame off the other. Pure.
+ * Distinguishes a faulty worker, on which all jobs fail, from a faulty job,
+ * which fails on all workers. A failure counts against the worker unless the
+ * job is parked, and against the job unless the worker is cordoned. Cordoning a
+ * worker removes its failures from the jobs, and parking a job removes its
+ * failures from the workers. Does no I/O and reads no clock.
  */
 class WorkerHealth
 {
 public:
   struct Rules
   {
-    /** Different jobs that failed on a worker with no success in between. */
+    /** Number of different jobs that fail on a worker, with no success in
+     * between, before the worker is cordoned. */
     std::size_t jobsToSetAside_ = 3;
-    /** Different workers that a job failed on without any success. */
+    /** Number of different workers on which a job fails, without any success,
+     * before the job is parked. */
     std::size_t workersToPark_ = 3;
+    /** Time from cordoning a worker to the first probe; doubles with each
+     * failed probe up to the limit below. */
     Millis firstPause_{ 5000 };
     Millis longestPause_{ 300000 };
   };
@@ -33,14 +38,18 @@
 
   void OnSuccess(std::string_view aWorker, std::string_view aJob);
   void OnFailure(std::string_view aWorker, std::string_view aJob, Instant aNow);
-  /** A task is started there; on a worker set aside, that is its probe. */
+  /** Records that a task is started on a worker. On a cordoned worker the task
+   * is a probe, and the time of the next probe is moved back. */
   void OnStart(std::string_view aWorker, Instant aNow);
 
+  /** Returns whether the worker is cordoned and not yet due for a probe. */
   bool IsSetAside(std::string_view aWorker, Instant aNow) const;
   bool IsParked(std::string_view aJob) const;
-  /** A whole sentence for operators; empty if the job is not parked. */
+  /** Returns the reason as sentences for operators; empty if the job is not
+   * parked. */
   std::string WhyParked(std::string_view aJob) const;
-  /** An operator changed the job: it is tried again. */
+  /** Discards the failures of a job that an operator has changed, so that it is
+   * placed again. */
   void Unpark(std::string_view aJob);
 
 private:
