--- a/Source/Version/Selector.cxx
+++ b/Source/Version/Selector.cxx
@@ -40,10 +40,11 @@
     Part part;
     part.name_ = std::string(word.substr(0, differs ? equals - 1 : equals));
     if (part.name_.empty()) {
-      return NotRun(FailureKind::BadInput,
-                    "The selector '" + std::string(aText) +
-                      "' has a part without a label's name; write "
-                      "NAME=VALUE, NAME!=VALUE or NAME, or * for all.");
+      return NotRun(
+        FailureKind::BadInput,
+        "The selector '" + std::string(aText) +
+          "' has a part without a label name. Write "
+          "NAME=VALUE, NAME!=VALUE or NAME, or * to select all work.");
     }
     if (equals != std::string_view::npos) {
       part.test_ = differs ? Test::Differs : Test::Equals;
--- a/Source/Version/WorkerHealth.cxx
+++ b/Source/Version/WorkerHealth.cxx
@@ -109,7 +109,9 @@
   }
   return "Every task of job " + std::string(aJob) + " failed, on the workers " +
          names +
-         ", which run other jobs well. Correct the job and create it again.";
+         ", which run other jobs without failure. Correct the job and create "
+         "it "
+         "again.";
 }
 
 void
--- a/Tests/Unit/ContentionModelTest.cxx
+++ b/Tests/Unit/ContentionModelTest.cxx
@@ -8,7 +8,8 @@
 
 namespace {
 
-/** Latency over its objective of a queue that is this full. */
+/** Returns the latency of a queue at this utilisation, relative to its
+ * objective. */
 double
 PressureAt(double aUtilisation)
 {
@@ -21,7 +22,8 @@
   return Instant(Millis(aMillis));
 }
 
-/** A watcher whose load swings, and a batch task that comes and goes. */
+/** A watcher with an oscillating load, measured with and without a batch task
+ * next to it. */
 struct ContentionBench
 {
   ContentionBench()
@@ -30,8 +32,8 @@
   {
   }
 
-  /** Each half second one report of a task alone and of one beside a batch
-   * task that takes this much. */
+  /** Reports, each half second, one task without neighbours and one next to a
+   * batch task that takes aCost of its capacity. */
   void LearnAt(double aLoad, double aCost, int aReports)
   {
     const std::vector<Neighbour> beside{ { batch_, 1 } };
@@ -42,7 +44,7 @@
     }
   }
 
-  /** The same with a load that swings. */
+  /** Reports as LearnAt(), with an oscillating load. */
   void Learn(double aCost, int aReports)
   {
     for (int i = 0; i < aReports; ++i) {
@@ -72,16 +74,15 @@
 
 }
 
-// A batch task takes a fifth of what a watcher can carry. At a low load its
-// answers are hardly slower, at a high one twice as slow: learned as latencies,
-// the cost was right at neither, and the batch was called harmless and harmful
-// by turns. As a share of capacity it is one figure.
+// A batch task takes a fifth of a watcher's capacity, which hardly changes the
+// latency at low load and doubles it at high load. A cost expressed as latency
+// is wrong at both loads and alternates between harmless and harmful.
 Test(ContentionModel, CostIsTheSameAtLowAndHighLoad)
 {
   ContentionBench low;
   low.LearnAt(0.2, 0.2, 30);
   ContentionBench high;
-  // The least latency of its image is known, as for the other one.
+  // Reports the same lowest pressure as the model at low load has.
   high.model_.OnReported(high.watcher_, PressureAt(0.2));
   high.LearnAt(0.6, 0.2, 30);
   const double atLow = low.model_.CostOf(low.watcher_, low.batch_).mean_;
@@ -90,7 +91,8 @@
   cr_assert_gt(atLow, 0.1);
 }
 
-// Its load swings while it is learned: the figure stays the same, and sure.
+// The load of the watcher oscillates during learning, which must neither shift
+// the cost nor keep its deviation high.
 Test(ContentionModel, CostStaysTheSameWhileTheLoadSwings)
 {
   ContentionBench bench;
@@ -104,8 +106,8 @@
   cr_assert_lt(second.doubt_, 0.06);
 }
 
-// A neighbour that does nothing, while the watcher's own users swing its
-// latency between one and two: that swing must not be blamed on the neighbour.
+// The watcher's own requests make its latency vary by a factor of two next to a
+// harmless neighbour. That variation must not be attributed to the neighbour.
 Test(ContentionModel, SwingOfItsOwnUsersIsNotBlamedOnTheNeighbour)
 {
   ContentionBench bench;
@@ -114,7 +116,8 @@
   cr_assert_lt(cost.mean_, 0.03, "cost %f", cost.mean_);
 }
 
-// Before anything is known a pair is in doubt: neither harmless nor harmful.
+// An unknown pair must have a high deviation, so that it counts neither as
+// harmless nor as harmful.
 Test(ContentionModel, UnknownPairIsInDoubt)
 {
   ContentionBench bench;
@@ -122,8 +125,9 @@
   cr_assert_gt(cost.doubt_, 0.1);
 }
 
-// A task whose latency shows that it is full already tells nothing of how much
-// too full it is: a second neighbour must not be acquitted by that.
+// The latency of a saturated task does not show by how much its load exceeds
+// the capacity. Such a measurement must not lower the cost of further
+// neighbours.
 Test(ContentionModel, FullTaskTeachesNothing)
 {
   ContentionBench bench;
@@ -138,7 +142,7 @@
   cr_assert_geq(after, before - 0.02, "before %f after %f", before, after);
 }
 
-// What one leader learned, the next one knows, with its doubt.
+// A change of leader must not lose the learned costs and base latencies.
 Test(ContentionModel, ExportAndImportKeepPairsAndBases)
 {
   ContentionBench bench;
@@ -154,7 +158,7 @@
     next.Limit(watcher), bench.model_.Limit(bench.watcher_), 1e-9);
 }
 
-// A job that ended is forgotten, its costs are not.
+// The load of an ended job is removed; the costs of its image stay.
 Test(ContentionModel, LoadsOfEndedJobsAreForgotten)
 {
   ContentionBench bench;
--- a/Tests/Unit/DurationModelTest.cxx
+++ b/Tests/Unit/DurationModelTest.cxx
@@ -9,8 +9,9 @@
 
 namespace {
 
-/** Batch steps as measured on a fleet of eleven workers: they take 2.4 s and
- * differ by a factor of 1.6; callers' estimates of them are off by 2.5. */
+/** Batch steps as on a fleet of eleven workers: the typical duration is 2.4 s,
+ * varying by a factor of 1.6, and the callers' estimates are wrong by a factor
+ * of 2.5. */
 constexpr double kMiddleMs = 2400;
 constexpr double kSpread = 0.5;
 constexpr double kEstimateOff = 0.9;
@@ -43,7 +44,7 @@
   std::normal_distribution<double> normal_;
 };
 
-/** Root of the mean square of the logarithm of expected over real. */
+/** Returns the root mean square of log(expected / actual duration). */
 double
 ErrorAfter(std::size_t aSteps, double aEstimateOff, bool aLearn)
 {
@@ -68,9 +69,10 @@
 
 }
 
-// A batch is ranked by the latest start with which it is still in time. By its
-// caller's word one of 2 s takes 27 s, so it is taken for the one with most
-// time left, and starts when it is late already.
+// Batch work is ordered by its latest start, and its objective grows with the
+// expected duration. An estimate that is far too high, such as 27 s for a step
+// of 2 s, makes the step appear to have the most time left, and it starts too
+// late.
 Test(DurationModel, LearnsHowLittleEstimatesSay)
 {
   const double believed = ErrorAfter(30, kEstimateOff, false);
@@ -79,13 +81,14 @@
   cr_assert_lt(learned, 0.6);
 }
 
-// A queue whose callers know their work loses nothing: its estimates stand.
+// Accurate estimates must not be degraded by the model.
 Test(DurationModel, KeepsEstimatesThatAreRight)
 {
   cr_assert_lt(ErrorAfter(30, 0.1, true), 0.15);
 }
 
-// All of a queue's estimates are too low by three: learned from ten steps.
+// All estimates of a queue are too low by a factor of three. Ten steps must
+// suffice to correct them.
 Test(DurationModel, LearnsACommonFactor)
 {
   DurationModel model;
@@ -98,8 +101,8 @@
   cr_assert_lt(expected, 3300);
 }
 
-// Before anything is known, and for another queue, the caller's word counts;
-// one who gave none is told nothing.
+// Without samples of its queue, an estimate is returned unchanged. Without an
+// estimate, the result is 0.
 Test(DurationModel, BelievesWhatItKnowsNothingOf)
 {
   DurationModel model;
--- a/Tests/Unit/LearnedPlacementTest.cxx
+++ b/Tests/Unit/LearnedPlacementTest.cxx
@@ -49,7 +49,7 @@
   return { aProgram + "-1/0", aProgram, Resources{ 1000, 10000, 0 } };
 }
 
-/** The workers once what was placed there before shows in their reports. */
+/** Returns the workers with reports that include all earlier placements. */
 std::vector<WorkerFacts>
 Later(std::vector<WorkerFacts> aWorkers, Instant aNow)
 {
@@ -59,7 +59,7 @@
   return aWorkers;
 }
 
-/** First fit that keeps what it is told. */
+/** First-fit policy that records the reports it receives. */
 class Recorder : public FirstFitPlacement
 {
 public:
@@ -74,7 +74,7 @@
   std::vector<WorkerUsage>& heard_;
 };
 
-/** Half a minute of reports of one worker, two a second. */
+/** Sends reports of one worker for 30 s, two per second. */
 void
 Report(PlacementChooser& aChooser, const WorkerUsage& aUsage)
 {
@@ -93,35 +93,39 @@
 
 }
 
-// Tasks that take three times the memory they declare are killed on a worker
-// that has room on paper only.
+// Tasks that use three times their declared memory are killed on a worker where
+// only the declared size fits.
 Test(LearnedPlacement, DeclaredTooSmallGoesWhereTheTrueUseFits)
 {
   const auto chooser = MakeChooser(LearnedPlacement(kSeed));
   const std::vector<WorkerFacts> workers{ Worker("half full", 30000),
                                           Worker("empty", 0) };
   const TaskFacts task = Batch("glutton", 15000);
-  cr_assert_eq(*chooser->Choose(task, workers, At(0)), 0, "packs as declared");
+  cr_assert_eq(
+    *chooser->Choose(task, workers, At(0)), 0, "placed by declared size");
   Report(*chooser, { "other", { 1000, 30000, 0 }, { Running("glutton") } });
   const Instant later = At(31000);
   cr_assert_eq(*chooser->Choose(task, Later(workers, later), later), 1);
 }
 
-// Tasks that take a third of what they declare leave workers half empty.
+// Tasks that use a third of their declared memory would leave workers half
+// empty if placed by the declared size.
 Test(LearnedPlacement, DeclaredTooLargeIsPackedByItsTrueUse)
 {
   const auto chooser = MakeChooser(LearnedPlacement(kSeed));
   const std::vector<WorkerFacts> workers{ Worker("half full", 30000),
                                           Worker("empty", 0) };
   const TaskFacts task = Batch("modest", 28000);
-  cr_assert_eq(*chooser->Choose(task, workers, At(0)), 1, "unseen: cautious");
+  cr_assert_eq(*chooser->Choose(task, workers, At(0)),
+               1,
+               "no observations: conservative estimate");
   Report(*chooser, { "other", { 1000, 3300, 0 }, { Running("modest") } });
   const Instant later = At(31000);
   cr_assert_eq(*chooser->Choose(task, Later(workers, later), later), 0);
 }
 
-// However little a program was seen to take, it may take what it declared at
-// any time: beyond the declared size nothing is promised.
+// A program with low observed usage may use its full declared size at any time,
+// so a worker's declared sizes must never exceed its capacity.
 Test(LearnedPlacement, NeverBeyondTheDeclaredSizeHoweverLongItWaits)
 {
   LearnedPlacement placement(kSeed);
@@ -135,8 +139,10 @@
   }
 }
 
-// A job that fits a worker as declared was accepted, but is expected to take
-// more than any worker has: it never starts, and nobody says why.
+// A job is accepted because its declared size fits a worker. If its expected
+// usage exceeds every worker, it would never start and no reason would be
+// shown.
+
 Test(LearnedPlacement, ATaskThatFitsAsDeclaredIsHeldBackForSomeSecondsOnly)
 {
   LearnedPlacement placement(kSeed);
@@ -146,11 +152,11 @@
   cr_assert_not(placement.Choose(task, workers, At(9000)).has_value());
   cr_assert_eq(placement.Choose(task, workers, At(10000)).value_or(9), 0);
   cr_assert_not(placement.Choose(task, workers, At(11000)).has_value(),
-                "the next one waits anew");
+                "the next task is deferred again");
 }
 
-// A report that left before the tasks began shows almost no use: learned from
-// it, the program would be packed as if it took nothing.
+// A report sent before the tasks started shows almost no usage. If it were
+// used, the program would be placed as if it needed no resources.
 Test(LearnedPlacement, ReportsThatLagBehindAChangeTeachNothing)
 {
   LearnedPlacement placement(kSeed);
@@ -163,8 +169,8 @@
   cr_assert_eq(placement.Expect("fresh", declared).confidence_, 0);
 }
 
-// A worker that does not measure states no use at all; its programs would be
-// learned to take nothing.
+// A worker that does not measure usage reports zero. If that were used, its
+// programs would be placed as if they needed no resources.
 Test(LearnedPlacement, AWorkerThatMeasuresNothingTeachesNothing)
 {
   LearnedPlacement placement(kSeed);
@@ -172,8 +178,8 @@
   cr_assert_eq(placement.Expect("a", { 1000, 10000, 0 }).confidence_, 0);
 }
 
-// Worker reports give one sum for all tasks: a modest program that runs beside
-// a glutton must not be taken for one.
+// A worker reports the total usage of all its tasks. The usage of a large
+// program must not be attributed to a small one next to it.
 Test(LearnedPlacement, ProgramsInMixedCompanyAreToldApart)
 {
   LearnedPlacement placement(kSeed);
@@ -192,9 +198,9 @@
   cr_assert_gt(glutton.memoryMb_, 25000, "glutton: %ld", glutton.memoryMb_);
 }
 
-// The scheduler's core hands on what a worker's report says of the tasks that
-// it counts there; a report that leaves tasks out would teach that the others
-// take what all take, or that all take nothing.
+// The scheduler core forwards only reports that cover every allocated task.
+// From an incomplete report the usage of the missing tasks would be attributed
+// to the others, or all tasks would appear to use nothing.
 Test(LearnedPlacement, TheCoreHandsOnWholeReportsOnly)
 {
   std::vector<WorkerUsage> heard;
@@ -242,12 +248,15 @@
   heard.clear();
   world.Run(10000000);
   for (const WorkerUsage& usage : heard) {
-    cr_assert_eq(usage.used_.milliCpus_, 3000, "a task that is not counted");
+    cr_assert_eq(usage.used_.milliCpus_,
+                 3000,
+                 "usage includes a task that is not allocated");
   }
 }
 
-// In a cell of two workers both are kept open for urgent work: batch work that
-// would close one would never start, though a worker stands empty.
+// In a cell of two workers both are kept open for urgent work. Batch work that
+// leaves too little capacity for it would never start, even on an empty worker.
+
 Test(LearnedPlacement, ASmallCellKeptOpenHoldsBatchBackForSomeSecondsOnly)
 {
   LearnedPlacement placement(kSeed);
--- a/Tests/Unit/PlacementEngineTest.cxx
+++ b/Tests/Unit/PlacementEngineTest.cxx
@@ -55,8 +55,8 @@
 
 }
 
-// A host gets more than its processors, memory or accelerators can hold: every
-// promise about it is void from then on.
+// A worker with more allocated processors, memory or accelerators than it has
+// cannot meet any guarantee.
 Test(PlacementEngine, NeverBeyondTheDeclaredSizeOrOnAWorkerSetAside)
 {
   Models models;
@@ -82,8 +82,8 @@
   }
 }
 
-// A program that uses three times what it declares fills a host on paper and
-// overloads it in truth.
+// A program that uses three times its declared size overloads a worker on which
+// the declared sizes fit.
 Test(PlacementEngine, LearnedUseKeepsAWorkerFromOverload)
 {
   Models models;
@@ -113,8 +113,8 @@
   }
 }
 
-// An urgent task waits for a checkpoint of seconds, because batch work has
-// taken the last room.
+// If batch work uses the last free capacity, an urgent task has to wait seconds
+// for a checkpoint.
 Test(PlacementEngine, BatchLeavesRoomForAnUrgentTask)
 {
   Models models;
@@ -133,8 +133,8 @@
   cr_assert(engine.Choose(urgent, workers, At(200)).has_value());
 }
 
-// A quiet program is blamed for a loud one: the measurement arrives when the
-// loud task has gone and the quiet one has come.
+// A measurement arrives after the disruptive task has ended and a harmless one
+// has started. The slowdown must not be attributed to the harmless program.
 Test(Interference, BlamesTheNeighboursOfTheTimeMeasured)
 {
   InterferenceHistory history;
@@ -191,7 +191,7 @@
   shares.OnPlaced("large", 2000);
   cr_assert_eq(*shares.Next(waiting), 0);
   shares.OnPlaced("small", 1000);
-  cr_assert_eq(*shares.Next(waiting), 1, "the quota is full");
+  cr_assert_eq(*shares.Next(waiting), 1, "the quota is exhausted");
   cr_assert_not(shares.IsWithinQuota("small", 1));
   shares.OnEnded("small", 1000);
   cr_assert(shares.IsWithinQuota("small", 1000));
--- a/Tests/Unit/ReactionTest.cxx
+++ b/Tests/Unit/ReactionTest.cxx
@@ -12,7 +12,7 @@
   return Instant(Millis(aMillis));
 }
 
-/** One worker with tasks whose cost is known. */
+/** One worker whose tasks cause a known slowdown. */
 struct Fixture
 {
   explicit Fixture(const PolicyWeights& aWeights)
@@ -33,7 +33,7 @@
     tasks_.push_back(task);
   }
 
-  /** Decides, carries throttles out and returns the steps. */
+  /** Returns the steps of Reaction::Decide() and applies their throttles. */
   std::vector<ReactionStep> Decide(double aLoad, std::int64_t aMillis)
   {
     PressedWorker worker;
@@ -79,11 +79,11 @@
   cr_assert_eq(steps.size(), 1);
   cr_assert_eq(steps[0].kind_, ReactionKind::Throttle);
   cr_assert_eq(steps[0].task_, 1);
-  cr_assert(fixture.Decide(0.8, 1100).empty(), "waits for late reports");
+  cr_assert(fixture.Decide(0.8, 1100).empty(), "waits for delayed reports");
 }
 
-// A noisy wave comes, its task is throttled, the wave goes; without a gap
-// between throttling and release the task flaps with each report.
+// A task is throttled during a load peak and must be released after it. Without
+// hysteresis the throttle would change with each report.
 Test(Reaction, ReleasesWhenThePressureIsGone)
 {
   Fixture fixture(kTailFirst);
@@ -95,8 +95,8 @@
   cr_assert_eq(fixture.counts_[ReactionKind::Evict], 0);
 }
 
-// A payout batch is evicted before it has checkpointed, and a payment is lost
-// or doubled, although another task could have been moved.
+// Evicting a payout batch without a checkpoint may lose or duplicate a payment.
+// It must not happen while another task can be moved.
 Test(Reaction, NeverAPayoutWhileSomethingGentlerIsOpen)
 {
   Fixture fixture(PolicyWeights{ 100, 1, 0.1 });
--- a/Tests/Unit/SelectorTest.cxx
+++ b/Tests/Unit/SelectorTest.cxx
@@ -27,8 +27,8 @@
   cr_assert(!Chooses("owner", labels));
 }
 
-// An operator's script passes an empty variable as the selector of "cancel".
-// Taken for "all", it would cancel every team's work.
+// A script may pass an empty variable as the selector of "cancel". If that
+// selected all work, the jobs of every team would be cancelled.
 Test(Selector, RefusesPartsWithoutAName)
 {
   for (const char* text : { "", ",", "=x", "!=x", "a=b,", "a=b,,c=d" }) {
--- a/Tests/Unit/WorkerHealthTest.cxx
+++ b/Tests/Unit/WorkerHealthTest.cxx
@@ -16,8 +16,8 @@
 
 }
 
-// A worker fails all that it starts; being always idle, it gets every next task
-// and empties the queue into failures.
+// A worker that fails every task is always idle, so it would receive every next
+// task and fail the whole queue.
 Test(WorkerHealth, WorkerThatFailsEverythingIsSetAsideAndProbed)
 {
   WorkerHealth health(WorkerHealth::Rules{});
@@ -31,12 +31,13 @@
   health.OnStart("bad", At(5100));
   cr_assert(health.IsSetAside("bad", At(5200)), "one probe only");
   health.OnFailure("bad", "a", At(5300));
-  cr_assert(health.IsSetAside("bad", At(14000)), "the pause has doubled");
+  cr_assert(health.IsSetAside("bad", At(14000)), "the probe delay has doubled");
   health.OnSuccess("bad", "a");
   cr_assert_not(health.IsSetAside("bad", At(14001)));
 }
 
-// One impossible job goes round and takes a good worker out at each stop.
+// A job that fails everywhere must not cause the cordoning of each worker on
+// which it is tried.
 Test(WorkerHealth, ImpossibleJobIsParkedAndItsWorkersAreNotBlamed)
 {
   WorkerHealth health(WorkerHealth::Rules{});
@@ -47,13 +48,13 @@
   cr_assert_neq(health.WhyParked("impossible").find("one"), std::string::npos);
   health.OnFailure("one", "a", At(1));
   health.OnFailure("one", "b", At(1));
-  cr_assert_not(health.IsSetAside("one", At(2)), "two failures are its own");
+  cr_assert_not(health.IsSetAside("one", At(2)),
+                "two failures of its own do not cordon a worker");
   health.Unpark("impossible");
   cr_assert_not(health.IsParked("impossible"));
 }
 
-// A bad worker and a job met by chance: the job is parked for failures that
-// were the worker's.
+// A job must not be parked for failures that a faulty worker caused.
 Test(WorkerHealth, BadWorkersFailuresAreTakenOffTheJob)
 {
   WorkerHealth health(WorkerHealth::Rules{});
@@ -94,8 +95,8 @@
   cr_assert_gt(later.confidence_, 0.9);
 }
 
-// The table service comes back, a thousand processes write at once what they
-// held back, and it goes down again.
+// After an outage of the table service, a thousand processes that send their
+// deferred writes at once would overload it again.
 Test(ReturnPacing, ProcessesReturnSpreadAndSlowly)
 {
   int first = 0;
