--- a/Source/Version/ContentionModel.cxx
+++ b/Source/Version/ContentionModel.cxx
@@ -9,28 +9,28 @@
 
 /** Ratio of the latency without load to the lowest reported latency, which
  * still includes some load. */
-constexpr double kBaseOfLeast = 0.8;
+constexpr double kBaseToLowestRatio = 0.8;
 /** Number of reports of an image from which their lowest pressure is used as it
- * is. With fewer reports the lowest pressure is capped at kFirstLeast. */
-constexpr std::uint32_t kTrustedFigures = 30;
+ * is; with fewer reports it is capped at kInitialLowestLimit. */
+constexpr std::uint32_t kMinReports = 30;
 /** Share of the objective. */
-constexpr double kFirstLeast = 0.3;
+constexpr double kInitialLowestLimit = 0.3;
 /** Pressure up to which backfill may raise a serving task, just below its
  * objective. */
-constexpr double kMostPressure = 0.98;
+constexpr double kMaxPressure = 0.98;
 /** Utilisation above which latency no longer indicates utilisation. */
-constexpr double kMostUtilisation = 0.97;
+constexpr double kMaxUtilisation = 0.97;
 
 /** Prior of an unknown pair: most pairs cost nothing and a few cost much, so
  * the mean lies between them and the deviation is wide. */
-constexpr double kFirstCost = 0.05;
-constexpr double kFirstDeviation = 0.12;
+constexpr double kPriorCost = 0.05;
+constexpr double kPriorCostDeviation = 0.12;
 /** Variance added per second, because the cost of a pair changes within about a
  * minute. */
 constexpr double kDriftPerSecond = 2e-4;
 /** Standard deviation of one measurement, as a share of capacity. Latencies are
  * whole milliseconds and cover half a second of requests. */
-constexpr double kFigureDeviation = 0.08;
+constexpr double kMeasurementDeviation = 0.08;
 
 constexpr double
 Square(double aValue)
@@ -62,16 +62,17 @@
 }
 
 double
-ContentionModel::BaseOf(Image aServing) const
+ContentionModel::BasePressureOf(Image aServing) const
 {
-  if (aServing >= servings_.size() || servings_[aServing].figures_ == 0) {
-    return kBaseOfLeast * kFirstLeast;
+  if (aServing >= servings_.size() || servings_[aServing].reportCount_ == 0) {
+    return kBaseToLowestRatio * kInitialLowestLimit;
   }
   const Serving& serving = servings_[aServing];
-  const double least = serving.figures_ < kTrustedFigures
-                         ? std::min(serving.leastPressure_, kFirstLeast)
-                         : serving.leastPressure_;
-  return kBaseOfLeast * least;
+  const double lowest =
+    serving.reportCount_ < kMinReports
+      ? std::min(serving.lowestPressure_, kInitialLowestLimit)
+      : serving.lowestPressure_;
+  return kBaseToLowestRatio * lowest;
 }
 
 double
@@ -80,24 +81,25 @@
   if (aPressure <= 0) {
     return 0;
   }
-  return std::clamp(1 - BaseOf(aServing) / aPressure, 0.0, kMostUtilisation);
+  return std::clamp(
+    1 - BasePressureOf(aServing) / aPressure, 0.0, kMaxUtilisation);
 }
 
 double
 ContentionModel::Limit(Image aServing) const
 {
-  return Utilisation(aServing, kMostPressure);
+  return Utilisation(aServing, kMaxPressure);
 }
 
 double
 ContentionModel::LoadWithin(const std::string& aJob, Millis aAhead) const
 {
   const auto found = loads_.find(aJob);
-  return found == loads_.end() ? ServingLoad(Instant()).AtMost(aAhead)
-                               : found->second.AtMost(aAhead);
+  return found == loads_.end() ? ServingLoad(Instant()).MaxWithin(aAhead)
+                               : found->second.MaxWithin(aAhead);
 }
 
-const LearnedFigure*
+const ScalarEstimate*
 ContentionModel::FindCost(Image aServing, Image aBackfill) const
 {
   if (aServing >= servings_.size()) {
@@ -110,24 +112,26 @@
 ContentionCost
 ContentionModel::CostOf(Image aServing, Image aBackfill) const
 {
-  const LearnedFigure* cost = FindCost(aServing, aBackfill);
+  const ScalarEstimate* cost = FindCost(aServing, aBackfill);
   if (cost == nullptr) {
-    return { kFirstCost, kFirstDeviation };
+    return { kPriorCost, kPriorCostDeviation };
   }
   return { cost->mean_, std::sqrt(cost->variance_) };
 }
 
-LearnedFigure&
+ScalarEstimate&
 ContentionModel::CostAt(Image aServing, Image aBackfill, Instant aNow)
 {
-  const double most = Square(kFirstDeviation);
-  LearnedFigure& cost =
+  const double maxVariance = Square(kPriorCostDeviation);
+  ScalarEstimate& cost =
     ServingAt(aServing)
-      .costs_.try_emplace(aBackfill, LearnedFigure{ kFirstCost, most, aNow })
+      .costs_
+      .try_emplace(aBackfill, ScalarEstimate{ kPriorCost, maxVariance, aNow })
       .first->second;
   const double seconds = std::max(
     0.0, std::chrono::duration<double>(aNow - cost.updatedAt_).count());
-  cost.variance_ = std::min(most, cost.variance_ + kDriftPerSecond * seconds);
+  cost.variance_ =
+    std::min(maxVariance, cost.variance_ + kDriftPerSecond * seconds);
   cost.updatedAt_ = std::max(cost.updatedAt_, aNow);
   return cost;
 }
@@ -136,17 +140,17 @@
 ContentionModel::OnReported(Image aServing, double aPressure)
 {
   Serving& serving = ServingAt(aServing);
-  serving.leastPressure_ = serving.figures_ == 0
-                             ? aPressure
-                             : std::min(serving.leastPressure_, aPressure);
-  ++serving.figures_;
+  serving.lowestPressure_ = serving.reportCount_ == 0
+                              ? aPressure
+                              : std::min(serving.lowestPressure_, aPressure);
+  ++serving.reportCount_;
 }
 
 void
 ContentionModel::OnMeasured(Image aServing,
                             const std::string& aJob,
                             double aPressure,
-                            std::span<const Neighbour> aBeside,
+                            std::span<const Neighbour> aNeighbours,
                             Instant aMeasuredAt)
 {
   if (aPressure <= 0) {
@@ -157,27 +161,27 @@
   load.Advance(aMeasuredAt);
   struct Term
   {
-    LearnedFigure* cost_;
+    ScalarEstimate* cost_;
     double weight_;
   };
   std::vector<Term> terms;
-  terms.reserve(aBeside.size());
-  double expected = load.Figure().mean_;
-  double variance = Square(kFigureDeviation) + load.Figure().variance_;
-  for (const Neighbour& one : aBeside) {
-    LearnedFigure& cost = CostAt(aServing, one.program_, aMeasuredAt);
-    terms.push_back({ &cost, one.weight_ });
-    expected += one.weight_ * cost.mean_;
-    variance += Square(one.weight_) * cost.variance_;
+  terms.reserve(aNeighbours.size());
+  double expected = load.Estimate().mean_;
+  double variance = Square(kMeasurementDeviation) + load.Estimate().variance_;
+  for (const Neighbour& neighbour : aNeighbours) {
+    ScalarEstimate& cost = CostAt(aServing, neighbour.program_, aMeasuredAt);
+    terms.push_back({ &cost, neighbour.weight_ });
+    expected += neighbour.weight_ * cost.mean_;
+    variance += Square(neighbour.weight_) * cost.variance_;
   }
   const double used = Utilisation(aServing, aPressure);
-  if (used >= kMostUtilisation && expected >= used) {
+  if (used >= kMaxUtilisation && expected >= used) {
     return; // Saturated as expected; the excess cannot be measured.
   }
   const double error = used - expected;
-  load.Correct(error, load.Figure().variance_ / variance);
+  load.Correct(error, load.Estimate().variance_ / variance);
   for (const Term& term : terms) {
-    LearnedFigure& cost = *term.cost_;
+    ScalarEstimate& cost = *term.cost_;
     cost.Correct(error, cost.variance_ * term.weight_ / variance, term.weight_);
     // A neighbour never speeds a task up. A negative cost is noise and would
     // distort the load and the costs of other pairs.
@@ -204,9 +208,9 @@
   LearnedContention learned;
   for (Image image = 0; image < servings_.size(); ++image) {
     const Serving& serving = servings_[image];
-    if (serving.figures_ > 0) {
+    if (serving.reportCount_ > 0) {
       learned.bases_.push_back(
-        { names[image], serving.leastPressure_, serving.figures_ });
+        { names[image], serving.lowestPressure_, serving.reportCount_ });
     }
     for (const auto& [backfill, cost] : serving.costs_) {
       learned.pairs_.push_back(
@@ -221,17 +225,17 @@
 {
   for (const LearnedContention::Base& base : aLearned.bases_) {
     Serving& serving = ServingAt(Number(base.serving_));
-    serving.leastPressure_ =
-      serving.figures_ == 0
-        ? base.leastPressure_
-        : std::min(serving.leastPressure_, base.leastPressure_);
-    serving.figures_ += base.figures_;
+    serving.lowestPressure_ =
+      serving.reportCount_ == 0
+        ? base.lowestPressure_
+        : std::min(serving.lowestPressure_, base.lowestPressure_);
+    serving.reportCount_ += base.reportCount_;
   }
   for (const LearnedContention::Pair& pair : aLearned.pairs_) {
     Serving& serving = ServingAt(Number(pair.serving_));
     serving.costs_.try_emplace(
       Number(pair.backfill_),
-      LearnedFigure{ pair.mean_, pair.variance_, aNow });
+      ScalarEstimate{ pair.mean_, pair.variance_, aNow });
   }
 }
 
@@ -239,7 +243,7 @@
 ContentionModel::ForgetBefore(Instant aTime)
 {
   std::erase_if(loads_, [aTime](const auto& aEntry) {
-    return aEntry.second.Figure().updatedAt_ < aTime;
+    return aEntry.second.Estimate().updatedAt_ < aTime;
   });
 }
 
--- a/Source/Version/ContentionModel.h
+++ b/Source/Version/ContentionModel.h
@@ -41,13 +41,13 @@
   struct Base
   {
     std::string serving_;
-    double leastPressure_ = 0;
-    std::uint32_t figures_ = 0;
+    double lowestPressure_ = 0;
+    std::uint32_t reportCount_ = 0;
 
     template<class Archive>
     void serialize(Archive& ar)
     {
-      ar(serving_, leastPressure_, figures_);
+      ar(serving_, lowestPressure_, reportCount_);
     }
   };
 
@@ -90,12 +90,12 @@
   void OnReported(Image aServing, double aPressure);
 
   /** Updates the load of the job and the costs of its neighbours with the
-   * pressure measured at one time. aBeside holds the backfill tasks that ran on
-   * the worker at that time, weighted by their pace. */
+   * pressure measured at one time. aNeighbours holds the backfill tasks that
+   * ran on the worker at that time, weighted by their pace. */
   void OnMeasured(Image aServing,
                   const std::string& aJob,
                   double aPressure,
-                  std::span<const Neighbour> aBeside,
+                  std::span<const Neighbour> aNeighbours,
                   Instant aMeasuredAt);
 
   /** Returns the share of its capacity that a serving task uses at this
@@ -124,15 +124,15 @@
   struct Serving
   {
     /** Lowest pressure reported, taken as that of the lowest load. */
-    double leastPressure_ = 0;
-    std::uint32_t figures_ = 0;
-    std::map<Image, LearnedFigure> costs_;
+    double lowestPressure_ = 0;
+    std::uint32_t reportCount_ = 0;
+    std::map<Image, ScalarEstimate> costs_;
   };
 
-  double BaseOf(Image aServing) const;
-  LearnedFigure& CostAt(Image aServing, Image aBackfill, Instant aNow);
+  double BasePressureOf(Image aServing) const;
+  ScalarEstimate& CostAt(Image aServing, Image aBackfill, Instant aNow);
   Serving& ServingAt(Image aServing);
-  const LearnedFigure* FindCost(Image aServing, Image aBackfill) const;
+  const ScalarEstimate* FindCost(Image aServing, Image aBackfill) const;
 
   std::map<std::string, Image, std::less<>> numbers_;
   std::vector<Serving> servings_;
--- a/Source/Version/DurationModel.cxx
+++ b/Source/Version/DurationModel.cxx
@@ -8,38 +8,41 @@
 namespace {
 
 /** Weight, in steps, of the prior that estimates are accurate on average. */
-constexpr double kTrustInMean = 1;
+constexpr double kMeanPriorWeight = 1;
 /** Weight of the prior that the slope is 1, as a sum of squares: that of about
  * four steps whose estimates differ by a factor of three. */
-constexpr double kTrustInSlope = 4;
+constexpr double kSlopePriorWeight = 4;
 /** Number of steps over which old samples decay. With eleven workers this is
  * about two minutes of batch steps or half a minute of urgent steps. */
-constexpr double kMemory = 200;
+constexpr double kDecaySteps = 200;
 
 }
 
 void
-DurationModel::Line::Add(double aEstimate, double aTook, double aWeight)
+DurationModel::LogRegression::Add(double aEstimate,
+                                  double aDuration,
+                                  double aWeight)
 {
-  const double keep = std::max(0.0, 1 - aWeight / kMemory);
+  const double keep = std::max(0.0, 1 - aWeight / kDecaySteps);
   weight_ *= keep;
-  squares_ *= keep;
-  products_ *= keep;
+  sumSquares_ *= keep;
+  sumProducts_ *= keep;
   weight_ += aWeight;
-  const double offEstimate = aEstimate - meanEstimate_;
-  const double offTook = aTook - meanTook_;
-  meanEstimate_ += offEstimate * aWeight / weight_;
-  meanTook_ += offTook * aWeight / weight_;
-  squares_ += aWeight * offEstimate * (aEstimate - meanEstimate_);
-  products_ += aWeight * offTook * (aEstimate - meanEstimate_);
+  const double estimateDeviation = aEstimate - meanEstimate_;
+  const double durationDeviation = aDuration - meanDuration_;
+  meanEstimate_ += estimateDeviation * aWeight / weight_;
+  meanDuration_ += durationDeviation * aWeight / weight_;
+  sumSquares_ += aWeight * estimateDeviation * (aEstimate - meanEstimate_);
+  sumProducts_ += aWeight * durationDeviation * (aEstimate - meanEstimate_);
 }
 
 double
-DurationModel::Line::At(double aEstimate) const
+DurationModel::LogRegression::Predict(double aEstimate) const
 {
-  const double slope = (products_ + kTrustInSlope) / (squares_ + kTrustInSlope);
+  const double slope =
+    (sumProducts_ + kSlopePriorWeight) / (sumSquares_ + kSlopePriorWeight);
   const double shift =
-    (meanTook_ - meanEstimate_) * weight_ / (weight_ + kTrustInMean);
+    (meanDuration_ - meanEstimate_) * weight_ / (weight_ + kMeanPriorWeight);
   return meanEstimate_ + shift +
          std::clamp(slope, 0.0, 1.0) * (aEstimate - meanEstimate_);
 }
@@ -47,18 +50,18 @@
 void
 DurationModel::OnTook(std::string_view aQueue,
                       std::int64_t aEstimateMs,
-                      double aTookMs,
+                      double aDurationMs,
                       double aWeight)
 {
-  if (aEstimateMs <= 0 || aTookMs <= 0 || aWeight <= 0) {
+  if (aEstimateMs <= 0 || aDurationMs <= 0 || aWeight <= 0) {
     return;
   }
-  auto line = lines_.find(aQueue);
-  if (line == lines_.end()) {
-    line = lines_.emplace(std::string(aQueue), Line()).first;
+  auto line = regressions_.find(aQueue);
+  if (line == regressions_.end()) {
+    line = regressions_.emplace(std::string(aQueue), LogRegression()).first;
   }
   line->second.Add(
-    std::log(static_cast<double>(aEstimateMs)), std::log(aTookMs), aWeight);
+    std::log(static_cast<double>(aEstimateMs)), std::log(aDurationMs), aWeight);
 }
 
 double
@@ -68,11 +71,12 @@
   if (aEstimateMs <= 0) {
     return 0;
   }
-  const auto line = lines_.find(aQueue);
-  if (line == lines_.end()) {
+  const auto line = regressions_.find(aQueue);
+  if (line == regressions_.end()) {
     return static_cast<double>(aEstimateMs);
   }
-  return std::exp(line->second.At(std::log(static_cast<double>(aEstimateMs))));
+  return std::exp(
+    line->second.Predict(std::log(static_cast<double>(aEstimateMs))));
 }
 
 }
--- a/Source/Version/DurationModel.h
+++ b/Source/Version/DurationModel.h
@@ -27,7 +27,7 @@
    */
   void OnTook(std::string_view aQueue,
               std::int64_t aEstimateMs,
-              double aTookMs,
+              double aDurationMs,
               double aWeight);
 
   /** Returns the predicted duration in ms; 0 if the caller gave no estimate. */
@@ -36,19 +36,19 @@
 
 private:
   /** Weighted linear regression over logarithms, with sums around the means. */
-  struct Line
+  struct LogRegression
   {
     double weight_ = 0;
     double meanEstimate_ = 0;
-    double meanTook_ = 0;
-    double squares_ = 0;
-    double products_ = 0;
+    double meanDuration_ = 0;
+    double sumSquares_ = 0;
+    double sumProducts_ = 0;
 
-    void Add(double aEstimate, double aTook, double aWeight);
-    double At(double aEstimate) const;
+    void Add(double aEstimate, double aDuration, double aWeight);
+    double Predict(double aEstimate) const;
   };
 
-  std::map<std::string, Line, std::less<>> lines_;
+  std::map<std::string, LogRegression, std::less<>> regressions_;
 };
 
 }
--- a/Source/Version/FairShare.cxx
+++ b/Source/Version/FairShare.cxx
@@ -21,20 +21,21 @@
 {
   Tenant& tenant = TenantNamed(aTenant);
   tenant.share_ = std::max<std::uint32_t>(1, aShare);
-  tenant.quota_ = aQuotaMilliCpus;
+  tenant.quotaMilliCpus_ = aQuotaMilliCpus;
 }
 
 void
 FairShare::OnPlaced(std::string_view aTenant, std::int64_t aMilliCpus)
 {
-  TenantNamed(aTenant).held_ += aMilliCpus;
+  TenantNamed(aTenant).allocatedMilliCpus_ += aMilliCpus;
 }
 
 void
 FairShare::OnEnded(std::string_view aTenant, std::int64_t aMilliCpus)
 {
   Tenant& tenant = TenantNamed(aTenant);
-  tenant.held_ = std::max<std::int64_t>(0, tenant.held_ - aMilliCpus);
+  tenant.allocatedMilliCpus_ =
+    std::max<std::int64_t>(0, tenant.allocatedMilliCpus_ - aMilliCpus);
 }
 
 bool
@@ -42,17 +43,18 @@
                          std::int64_t aMilliCpus) const
 {
   const auto found = tenants_.find(aTenant);
-  if (found == tenants_.end() || found->second.quota_ == 0) {
+  if (found == tenants_.end() || found->second.quotaMilliCpus_ == 0) {
     return true;
   }
-  return found->second.held_ + aMilliCpus <= found->second.quota_;
+  return found->second.allocatedMilliCpus_ + aMilliCpus <=
+         found->second.quotaMilliCpus_;
 }
 
 std::optional<std::size_t>
 FairShare::Next(std::span<const Waiting> aWaiting) const
 {
   std::optional<std::size_t> best;
-  double least = 0;
+  double lowest = 0;
   for (std::size_t index = 0; index < aWaiting.size(); ++index) {
     const Waiting& waiting = aWaiting[index];
     if (!IsWithinQuota(waiting.tenant_, waiting.milliCpus_)) {
@@ -62,10 +64,11 @@
     const double held =
       found == tenants_.end()
         ? 0
-        : static_cast<double>(found->second.held_) / found->second.share_;
-    if (!best.has_value() || held < least) {
+        : static_cast<double>(found->second.allocatedMilliCpus_) /
+            found->second.share_;
+    if (!best.has_value() || held < lowest) {
       best = index;
-      least = held;
+      lowest = held;
     }
   }
   return best;
--- a/Source/Version/FairShare.h
+++ b/Source/Version/FairShare.h
@@ -47,8 +47,8 @@
   struct Tenant
   {
     double share_ = 1;
-    std::int64_t quota_ = 0;
-    std::int64_t held_ = 0;
+    std::int64_t quotaMilliCpus_ = 0;
+    std::int64_t allocatedMilliCpus_ = 0;
   };
   struct NameHash
   {
--- a/Source/Version/InterferenceHistory.cxx
+++ b/Source/Version/InterferenceHistory.cxx
@@ -8,7 +8,7 @@
 namespace {
 
 /** Maximum age of a report at its arrival; older reports are not used. */
-constexpr Millis kKept{ 10000 };
+constexpr Millis kMaxReportAge{ 10000 };
 
 std::vector<Neighbour>
 Merge(std::span<const Neighbour> aNeighbours)
@@ -26,7 +26,8 @@
 }
 
 bool
-Same(const std::vector<Neighbour>& aLeft, const std::vector<Neighbour>& aRight)
+AreEqual(const std::vector<Neighbour>& aLeft,
+         const std::vector<Neighbour>& aRight)
 {
   return std::equal(aLeft.begin(),
                     aLeft.end(),
@@ -47,11 +48,11 @@
 {
   std::deque<Entry>& entries = workers_[std::string(aWorker)];
   std::vector<Neighbour> merged = Merge(aNeighbours);
-  if (!entries.empty() && Same(entries.back().neighbours_, merged)) {
+  if (!entries.empty() && AreEqual(entries.back().neighbours_, merged)) {
     return;
   }
   entries.push_back({ aNow, std::move(merged) });
-  while (entries.size() > 1 && entries[1].since_ + kKept < aNow) {
+  while (entries.size() > 1 && entries[1].since_ + kMaxReportAge < aNow) {
     entries.pop_front();
   }
 }
@@ -66,7 +67,7 @@
     return {};
   }
   const double length = static_cast<double>((aTo - aFrom).count());
-  std::vector<Neighbour> all;
+  std::vector<Neighbour> weighted;
   const std::deque<Entry>& entries = found->second;
   for (std::size_t index = 0; index < entries.size(); ++index) {
     const Instant from = std::max(aFrom, entries[index].since_);
@@ -78,10 +79,10 @@
     }
     const double part = static_cast<double>((to - from).count()) / length;
     for (const Neighbour& neighbour : entries[index].neighbours_) {
-      all.push_back({ neighbour.program_, neighbour.weight_ * part });
+      weighted.push_back({ neighbour.program_, neighbour.weight_ * part });
     }
   }
-  return Merge(all);
+  return Merge(weighted);
 }
 
 }
--- a/Source/Version/InterferenceModel.cxx
+++ b/Source/Version/InterferenceModel.cxx
@@ -9,7 +9,7 @@
 
 /** Standard deviation of the prior latency without neighbours, relative to the
  * first measured latency. */
-constexpr double kAloneDeviation = 0.15;
+constexpr double kBaselineDeviation = 0.15;
 
 double
 Seconds(Instant aFrom, Instant aTo)
@@ -83,8 +83,8 @@
   Victim& victim = VictimAt(aVictim);
   if (victim.scale_ == 0) {
     victim.scale_ = aLatency;
-    victim.alone_ =
-      Estimate{ 1, kAloneDeviation * kAloneDeviation, aMeasuredAt };
+    victim.baseline_ =
+      Estimate{ 1, kBaselineDeviation * kBaselineDeviation, aMeasuredAt };
   }
   for (const Neighbour& neighbour : aNeighbours) {
     if (neighbour.program_ >= victim.pairs_.size()) {
@@ -98,7 +98,7 @@
   };
   std::vector<Term> terms;
   terms.reserve(2 * aNeighbours.size() + 1);
-  terms.push_back({ &victim.alone_, 1 });
+  terms.push_back({ &victim.baseline_, 1 });
   for (const Neighbour& neighbour : aNeighbours) {
     Pair& pair = victim.pairs_[neighbour.program_];
     terms.push_back({ &pair.idle_, neighbour.weight_ * (1 - aLoad) });
@@ -112,7 +112,7 @@
   const double limit = rules_.priorDeviation_ * rules_.priorDeviation_;
   for (const Term& term : terms) {
     Estimate& estimate = *term.estimate_;
-    if (term.estimate_ != &victim.alone_) {
+    if (term.estimate_ != &victim.baseline_) {
       const double age = Seconds(estimate.updatedAt_, aMeasuredAt);
       estimate.variance_ =
         std::min(limit, estimate.variance_ + rules_.driftPerSecond_ * age);
@@ -127,7 +127,7 @@
     const double gain = estimate.variance_ * term.weight_ / variance;
     estimate.mean_ += gain * error;
     estimate.variance_ *= 1 - gain * term.weight_;
-    if (term.estimate_ != &victim.alone_) {
+    if (term.estimate_ != &victim.baseline_) {
       // A neighbour never speeds a victim up. A negative slowdown is noise and
       // would distort the other estimates.
       estimate.mean_ = std::max(0.0, estimate.mean_);
@@ -161,9 +161,9 @@
 }
 
 double
-InterferenceModel::Doubt(Program aVictim,
-                         Program aAggressor,
-                         double aLoad) const
+InterferenceModel::CostDeviation(Program aVictim,
+                                 Program aAggressor,
+                                 double aLoad) const
 {
   const Pair* pair = FindPair(aVictim, aAggressor);
   if (pair == nullptr) {
@@ -180,7 +180,7 @@
     return 1;
   }
   const Victim& victim = victims_[aVictim];
-  return aLatency / (victim.scale_ * victim.alone_.mean_);
+  return aLatency / (victim.scale_ * victim.baseline_.mean_);
 }
 
 }
--- a/Source/Version/InterferenceModel.h
+++ b/Source/Version/InterferenceModel.h
@@ -77,7 +77,7 @@
    * load. */
   double Cost(Program aVictim, Program aAggressor, double aLoad) const;
   /** Returns the standard deviation of Cost(). */
-  double Doubt(Program aVictim, Program aAggressor, double aLoad) const;
+  double CostDeviation(Program aVictim, Program aAggressor, double aLoad) const;
   /** Returns the ratio of aLatency to the learned latency of the victim without
    * neighbours. */
   double Slowdown(Program aVictim, double aLatency) const;
@@ -97,7 +97,7 @@
   struct Victim
   {
     double scale_ = 0;
-    Estimate alone_;
+    Estimate baseline_;
     std::vector<Pair> pairs_;
   };
 
--- a/Source/Version/LearnedPlacement.cxx
+++ b/Source/Version/LearnedPlacement.cxx
@@ -16,21 +16,21 @@
 
 /** Time for which a worker's tasks must be unchanged before its report is used,
  * because reported usage lags behind the running tasks. */
-constexpr Millis kSettled{ 2000 };
+constexpr Millis kMinUnchangedTime{ 2000 };
 /** Minimum interval between two reports of one worker that are used. */
-constexpr Millis kLearnEvery{ 1000 };
+constexpr Millis kLearnInterval{ 1000 };
 /** Maximum time for which a task that fits by its declared size is deferred. */
-constexpr Millis kLongestWait{ 10000 };
+constexpr Millis kMaxDeferral{ 10000 };
 /** Time without a placement request after which a deferred task is removed: it
  * was placed elsewhere or stopped. */
-constexpr Millis kForgetAfter{ 60000 };
+constexpr Millis kDeferredExpiry{ 60000 };
 constexpr const char* kUrgentWork = "urgent work";
 
 /** Share of an error that one report corrects. */
-constexpr double kStep = 0.3;
+constexpr double kGradientStep = 0.3;
 /** Lower limit of a ratio, so that a program that runs next to much larger ones
  * is not estimated as zero. */
-constexpr double kLeastRatio = 0.01;
+constexpr double kMinRatio = 0.01;
 
 std::int64_t
 ShareOf(std::int64_t aUsed, double aPart)
@@ -54,17 +54,17 @@
 
   /** Tasks in a worker's latest report, and the time since which they are the
    * same. */
-  struct Watched
+  struct ReportedTasks
   {
     std::vector<std::string> taskIds_;
     Instant since_;
     Instant learnedAt_;
   };
   /** A deferred task. */
-  struct Held
+  struct DeferredTask
   {
     Instant since_;
-    Instant askedAt_;
+    Instant requestedAt_;
   };
   /** Ratios of used to declared resources, without variance or prior. */
   struct Ratios
@@ -79,15 +79,15 @@
                  std::int64_t Resources::*aKind,
                  double Ratios::*aRatio,
                  const Resources& aUsed);
-  bool HeldTooLong(const std::string& aTaskId, Instant aNow);
+  bool IsDeferralOver(const std::string& aTaskId, Instant aNow);
 
   UsageEstimate usage_;
   InterferenceModel interference_{ InterferenceModel::Rules{} };
   PlacementEngine engine_;
   FirstFitPlacement firstFit_;
   std::map<std::string, Ratios> ratios_;
-  std::map<std::string, Watched> watched_;
-  std::map<std::string, Held> held_;
+  std::map<std::string, ReportedTasks> reportedTasks_;
+  std::map<std::string, DeferredTask> deferred_;
 };
 
 bool
@@ -97,16 +97,16 @@
   for (const TaskUsage& task : aUsage.tasks_) {
     taskIds.push_back(task.taskId_);
   }
-  Watched& watched = watched_[aUsage.workerId_];
-  if (watched.taskIds_ != taskIds) {
-    watched = Watched{ std::move(taskIds), aNow, aNow };
+  ReportedTasks& reported = reportedTasks_[aUsage.workerId_];
+  if (reported.taskIds_ != taskIds) {
+    reported = ReportedTasks{ std::move(taskIds), aNow, aNow };
     return false;
   }
-  if (aNow < watched.since_ + kSettled ||
-      aNow < watched.learnedAt_ + kLearnEvery) {
+  if (aNow < reported.since_ + kMinUnchangedTime ||
+      aNow < reported.learnedAt_ + kLearnInterval) {
     return false;
   }
-  watched.learnedAt_ = aNow;
+  reported.learnedAt_ = aNow;
   return true;
 }
 
@@ -167,19 +167,21 @@
   for (const auto& [program, declared] : aDeclared) {
     const auto size = static_cast<double>(declared.*aKind);
     double& ratio = ratios_[program].*aRatio;
-    ratio = std::max(kLeastRatio, ratio + kStep * error * size / squares);
+    ratio = std::max(kMinRatio, ratio + kGradientStep * error * size / squares);
   }
 }
 
 bool
-LearnedPlacement::Private::HeldTooLong(const std::string& aTaskId, Instant aNow)
+LearnedPlacement::Private::IsDeferralOver(const std::string& aTaskId,
+                                          Instant aNow)
 {
-  std::erase_if(held_, [aNow](const auto& aHeld) {
-    return aHeld.second.askedAt_ + kForgetAfter < aNow;
+  std::erase_if(deferred_, [aNow](const auto& aEntry) {
+    return aEntry.second.requestedAt_ + kDeferredExpiry < aNow;
   });
-  Held& held = held_.try_emplace(aTaskId, Held{ aNow, aNow }).first->second;
-  held.askedAt_ = aNow;
-  return held.since_ + kLongestWait <= aNow;
+  DeferredTask& held =
+    deferred_.try_emplace(aTaskId, DeferredTask{ aNow, aNow }).first->second;
+  held.requestedAt_ = aNow;
+  return held.since_ + kMaxDeferral <= aNow;
 }
 
 LearnedPlacement::LearnedPlacement(std::uint64_t aSeed)
@@ -203,11 +205,11 @@
   // If the expected usage of a task exceeds the capacity of every worker, or
   // all workers of a small cell are kept open, the engine never places the
   // task. The job was accepted by its declared size and would never start.
-  if (!chosen.has_value() && private_->HeldTooLong(aTask.taskId_, aNow)) {
+  if (!chosen.has_value() && private_->IsDeferralOver(aTask.taskId_, aNow)) {
     chosen = private_->firstFit_.Choose(aTask, aWorkers, aNow);
   }
   if (chosen.has_value()) {
-    private_->held_.erase(aTask.taskId_);
+    private_->deferred_.erase(aTask.taskId_);
   }
   return chosen;
 }
--- a/Source/Version/PlacementEngine.cxx
+++ b/Source/Version/PlacementEngine.cxx
@@ -9,16 +9,16 @@
 
 /** Reports lag behind placements: a report up to this much later than a
  * placement may not include it. */
-constexpr Millis kReportSettle{ 300 };
+constexpr Millis kReportLag{ 300 };
 /** Lower limit of the urgent load used for scoring, because the load of an idle
  * runner may rise soon. */
-constexpr double kLeastLoad = 0.2;
+constexpr double kMinLoad = 0.2;
 constexpr double kHalfLoad = 0.5;
 constexpr double kPackingWeight = 0.02;
 constexpr double kSameProgramPenalty = 1.0;
 
 double
-PartTaken(const Resources& aTaken, const Resources& aCapacity)
+UsedShare(const Resources& aTaken, const Resources& aCapacity)
 {
   const auto part = [](std::int64_t aUsed, std::int64_t aAll) {
     return aAll == 0 ? 0.0
@@ -59,7 +59,7 @@
   const auto found = pending_.find(aWorker.workerId_);
   if (found != pending_.end()) {
     std::erase_if(found->second, [&aWorker](const Pending& aPending) {
-      return aPending.placedAt_ + kReportSettle < aWorker.reportedAt_;
+      return aPending.placedAt_ + kReportLag < aWorker.reportedAt_;
     });
     for (const Pending& pending : found->second) {
       taken += pending.resources_;
@@ -81,12 +81,12 @@
                        InterferenceModel::Program aProgram,
                        const WorkerFacts& aWorker) const
 {
-  const double load = std::max(kLeastLoad, aWorker.urgentLoad_);
+  const double load = std::max(kMinLoad, aWorker.urgentLoad_);
   const double harm =
     interference_.Cost(victim_, aProgram, load) * load * rules_.harmWeight_;
   Resources after = aWorker.reserved_;
   after += aTask.declared_;
-  return harm - kPackingWeight * PartTaken(after, aWorker.capacity_);
+  return harm - kPackingWeight * UsedShare(after, aWorker.capacity_);
 }
 
 double
@@ -97,28 +97,28 @@
   const auto same = std::count(
     aWorker.programs_.begin(), aWorker.programs_.end(), aTask.program_);
   return static_cast<double>(same) * kSameProgramPenalty +
-         PartTaken(aWorker.reserved_, aWorker.capacity_);
+         UsedShare(aWorker.reserved_, aWorker.capacity_);
 }
 
 bool
-PlacementEngine::MayShare(bool aLoud,
-                          bool aLoudWorker,
-                          double aCost,
-                          const WorkerFacts& aWorker,
-                          Instant aNow) const
+PlacementEngine::IsPlacementAllowed(bool aDisruptive,
+                                    bool aDesignated,
+                                    double aCost,
+                                    const WorkerFacts& aWorker,
+                                    Instant aNow) const
 {
-  if (aLoudWorker) {
-    return aLoud || !loudRefusedAt_.has_value() ||
-           *loudRefusedAt_ + rules_.loudWaits_ < aNow;
+  if (aDesignated) {
+    return aDisruptive || !disruptiveRejectedAt_.has_value() ||
+           *disruptiveRejectedAt_ + rules_.rejectionHold_ < aNow;
   }
-  if (!aLoud) {
+  if (!aDisruptive) {
     return true;
   }
   double sum = aCost;
   for (const std::string& program : aWorker.programs_) {
     sum += interference_.Cost(victim_, interference_.Find(program), kHalfLoad);
   }
-  return sum <= rules_.quietLimit_;
+  return sum <= rules_.sharedCostLimit_;
 }
 
 std::optional<std::size_t>
@@ -145,16 +145,17 @@
     std::count_if(aWorkers.begin(), aWorkers.end(), isOpen));
   const InterferenceModel::Program program = interference_.Find(aTask.program_);
   const double cost = interference_.Cost(victim_, program, kHalfLoad);
-  const bool loud = !urgent && cost > rules_.loudCost_;
-  const auto quietWorkers = static_cast<std::size_t>(
-    static_cast<double>(count) * (1 - rules_.loudPart_));
+  const bool disruptive = !urgent && cost > rules_.disruptiveCost_;
+  const auto generalWorkers = static_cast<std::size_t>(
+    static_cast<double>(count) * (1 - rules_.designatedShare_));
   const Resources expected =
     usage_.Expect(aTask.program_, aTask.declared_, 0).resources_;
   std::optional<std::size_t> best;
   double bestScore = std::numeric_limits<double>::max();
   std::size_t scored = 0;
   const std::size_t start = NextRandom() % count;
-  for (std::size_t step = 0; step < count && scored < rules_.scored_; ++step) {
+  for (std::size_t step = 0; step < count && scored < rules_.maxScored_;
+       ++step) {
     const std::size_t index = (start + step) % count;
     const WorkerFacts& worker = aWorkers[index];
     if (worker.setAside_ ||
@@ -168,10 +169,11 @@
       after += aTask.declared_;
       const bool closes =
         isOpen(worker) && !urgentSize_.FitsIn(worker.capacity_, after);
-      if (closes && open <= rules_.workersKeptOpen_) {
+      if (closes && open <= rules_.minOpenWorkers_) {
         continue;
       }
-      if (!MayShare(loud, index >= quietWorkers, cost, worker, aNow) ||
+      if (!IsPlacementAllowed(
+            disruptive, index >= generalWorkers, cost, worker, aNow) ||
           !ExpectedToFit(expected, worker, aNow)) {
         continue;
       }
@@ -184,8 +186,8 @@
       bestScore = score;
     }
   }
-  if (loud && !best.has_value()) {
-    loudRefusedAt_ = aNow;
+  if (disruptive && !best.has_value()) {
+    disruptiveRejectedAt_ = aNow;
   }
   if (best.has_value()) {
     pending_[aWorkers[*best].workerId_].push_back({ expected, aNow });
--- a/Source/Version/PlacementEngine.h
+++ b/Source/Version/PlacementEngine.h
@@ -24,11 +24,12 @@
 public:
   struct Rules
   {
-    /** Number of suitable workers that are scored per choice. */
-    std::size_t scored_ = 24;
+    /** Maximum number of workers that are scored per choice. Workers on which
+     * the task does not fit are skipped and not counted. */
+    std::size_t maxScored_ = 24;
     /** Number of workers on which batch work leaves capacity for one urgent
      * task. */
-    std::size_t workersKeptOpen_ = 2;
+    std::size_t minOpenWorkers_ = 2;
     /** Upper limit of the expected processor usage, as a share of capacity. */
     double processorLimit_ = 1.15;
     /** Upper limit of the expected memory usage, as a share of capacity. Tasks
@@ -38,15 +39,15 @@
     double harmWeight_ = 1.0;
     /** Slowdown of urgent work at half load above which a program counts as
      * disruptive. */
-    double loudCost_ = 0.03;
+    double disruptiveCost_ = 0.03;
     /** Share of the workers that are designated for disruptive programs. */
-    double loudPart_ = 0.2;
+    double designatedShare_ = 0.2;
     /** Sum of slowdowns on another worker up to which a disruptive task may be
      * placed there. */
-    double quietLimit_ = 0.0;
+    double sharedCostLimit_ = 0.0;
     /** Time after the rejection of a disruptive task during which other batch
      * tasks are not placed on the designated workers. */
-    Millis loudWaits_{ 3000 };
+    Millis rejectionHold_{ 3000 };
   };
 
   PlacementEngine(const Rules& aRules,
@@ -74,11 +75,11 @@
                InterferenceModel::Program aProgram,
                const WorkerFacts& aWorker) const;
   double ServiceScore(const TaskFacts& aTask, const WorkerFacts& aWorker) const;
-  bool MayShare(bool aLoud,
-                bool aLoudWorker,
-                double aCost,
-                const WorkerFacts& aWorker,
-                Instant aNow) const;
+  bool IsPlacementAllowed(bool aDisruptive,
+                          bool aDesignated,
+                          double aCost,
+                          const WorkerFacts& aWorker,
+                          Instant aNow) const;
   std::uint64_t NextRandom();
 
   Rules rules_;
@@ -87,7 +88,7 @@
   InterferenceModel::Program victim_;
   std::uint64_t random_;
   /** Time at which a disruptive task was last rejected on all workers. */
-  std::optional<Instant> loudRefusedAt_;
+  std::optional<Instant> disruptiveRejectedAt_;
   /** Largest processor and memory sizes declared by an urgent task so far. */
   Resources urgentSize_;
   std::unordered_map<std::string, std::vector<Pending>> pending_;
--- a/Source/Version/Reaction.cxx
+++ b/Source/Version/Reaction.cxx
@@ -10,13 +10,13 @@
 
 constexpr double kSlowdownSmoothing = 0.4;
 /** Minimum sample count of a report that is used. */
-constexpr double kFewSamples = 5;
-constexpr double kLeastLoad = 0.1;
-constexpr double kMostLoad = 0.95;
+constexpr double kMinSamples = 5;
+constexpr double kMinLoad = 0.1;
+constexpr double kMaxLoad = 0.95;
 /** Minimum slowdown caused by a task for which a step is taken. */
-constexpr double kLeastCost = 0.002;
+constexpr double kMinCost = 0.002;
 /** Price of a move relative to that of an eviction. */
-constexpr double kMovePart = 0.15;
+constexpr double kMovePriceRatio = 0.15;
 /** Weight of a lost payout relative to the lost progress of another task. */
 constexpr double kPayoutFactor = 10;
 /** Converts the harm to urgent work, slowdown times load, to the scale of
@@ -35,7 +35,7 @@
 Reaction::PriceOfRemoval(const RunningTask& aTask) const
 {
   if (aTask.canCheckpoint_) {
-    return weights_.evictions_ * kMovePart;
+    return weights_.evictions_ * kMovePriceRatio;
   }
   const bool atRisk = aTask.payout_ && !aTask.checkpointed_;
   return weights_.evictions_ * (atRisk ? kPayoutFactor : 1);
@@ -66,24 +66,24 @@
 double
 Reaction::AllowedAt(double aLoad) const
 {
-  const double load = std::clamp(aLoad, kLeastLoad, kMostLoad);
+  const double load = std::clamp(aLoad, kMinLoad, kMaxLoad);
   const double tolerance = weights_.batchThroughput_ / weights_.tailLatency_;
   return rules_.allowedSlowdown_ * tolerance * (1 - load) / load;
 }
 
 void
-Reaction::Observe(WorkerMemory& aMemory,
+Reaction::Observe(WorkerState& aState,
                   const PressedWorker& aWorker,
                   const InterferenceModel& aModel,
                   InterferenceModel::Program aVictim) const
 {
-  if (aWorker.measuredAt_ <= aMemory.measuredAt_ ||
-      aWorker.samples_ < kFewSamples) {
+  if (aWorker.measuredAt_ <= aState.measuredAt_ ||
+      aWorker.samples_ < kMinSamples) {
     return;
   }
-  aMemory.measuredAt_ = aWorker.measuredAt_;
+  aState.measuredAt_ = aWorker.measuredAt_;
   const double slowdown = aModel.Slowdown(aVictim, aWorker.latencyMicros_);
-  aMemory.slowdown_ += kSlowdownSmoothing * (slowdown - aMemory.slowdown_);
+  aState.slowdown_ += kSlowdownSmoothing * (slowdown - aState.slowdown_);
 }
 
 std::vector<ReactionStep>
@@ -96,7 +96,7 @@
   std::vector<Candidate> candidates;
   for (std::size_t index = 0; index < aWorkers.size(); ++index) {
     const PressedWorker& worker = aWorkers[index];
-    WorkerMemory& memory = workers_[worker.workerId_];
+    WorkerState& memory = workers_[worker.workerId_];
     Observe(memory, worker, aModel, aVictim);
     candidates.clear();
     double predicted = 1;
@@ -117,8 +117,8 @@
     std::sort(candidates.begin(),
               candidates.end(),
               [](const Candidate& aLeft, const Candidate& aRight) {
-                return aLeft.density_ != aRight.density_
-                         ? aLeft.density_ > aRight.density_
+                return aLeft.costPerCore_ != aRight.costPerCore_
+                         ? aLeft.costPerCore_ > aRight.costPerCore_
                          : aLeft.task_ < aRight.task_;
               });
     // The prediction reflects placements and throttles at once; the measurement
@@ -127,14 +127,14 @@
     const double excess = (predicted + memory.slowdown_) / 2 - 1;
     const double allowed = AllowedAt(worker.urgentLoad_);
     if (excess <= allowed) {
-      memory.pressedSince_.reset();
+      memory.excessSince_.reset();
     }
-    if (aNow < memory.settledAt_ || worker.setAside_) {
+    if (aNow < memory.nextStepAt_ || worker.setAside_) {
       continue;
     }
     if (excess > allowed) {
       Relieve(steps, index, worker, candidates, excess - allowed, memory, aNow);
-    } else if (excess < allowed * rules_.releasePart_) {
+    } else if (excess < allowed * rules_.releaseShare_) {
       Release(steps, index, worker, candidates, allowed - excess, memory, aNow);
     }
   }
@@ -147,34 +147,34 @@
                   const PressedWorker& aWorker,
                   std::span<const Candidate> aCandidates,
                   double aExcess,
-                  WorkerMemory& aMemory,
+                  WorkerState& aState,
                   Instant aNow)
 {
-  double left = aExcess;
+  double remaining = aExcess;
   for (const Candidate& candidate : aCandidates) {
-    if (left <= 0) {
+    if (remaining <= 0) {
       break;
     }
-    if (candidate.cost_ < kLeastCost) {
+    if (candidate.cost_ < kMinCost) {
       continue;
     }
     const double now = aWorker.tasks_[candidate.task_].throttle_;
-    const double wanted = std::max(rules_.deepestThrottle_, now / 2);
+    const double wanted = std::max(rules_.minThrottle_, now / 2);
     if (wanted < now) {
       aSteps.push_back(
         { ReactionKind::Throttle, aIndex, candidate.task_, wanted });
-      left -= candidate.cost_ * (now - wanted);
-      aMemory.settledAt_ = aNow + rules_.settle_;
+      remaining -= candidate.cost_ * (now - wanted);
+      aState.nextStepAt_ = aNow + rules_.settleTime_;
     }
   }
-  if (aMemory.settledAt_ > aNow) {
+  if (aState.nextStepAt_ > aNow) {
     return;
   }
-  if (!aMemory.pressedSince_.has_value()) {
-    aMemory.pressedSince_ = aNow;
+  if (!aState.excessSince_.has_value()) {
+    aState.excessSince_ = aNow;
   }
-  if (aNow - *aMemory.pressedSince_ >= rules_.patience_) {
-    Remove(aSteps, aIndex, aWorker, aCandidates, aExcess, aMemory, aNow);
+  if (aNow - *aState.excessSince_ >= rules_.pressureTimeout_) {
+    Remove(aSteps, aIndex, aWorker, aCandidates, aExcess, aState, aNow);
   }
 }
 
@@ -184,7 +184,7 @@
                  const PressedWorker& aWorker,
                  std::span<const Candidate> aCandidates,
                  double aExcess,
-                 WorkerMemory& aMemory,
+                 WorkerState& aState,
                  Instant aNow)
 {
   const double harm =
@@ -196,7 +196,7 @@
   double bestPrice = harm;
   for (const Candidate& candidate : aCandidates) {
     const RunningTask& task = aWorker.tasks_[candidate.task_];
-    if (candidate.cost_ < kLeastCost) {
+    if (candidate.cost_ < kMinCost) {
       continue;
     }
     const double price = PriceOfRemoval(task);
@@ -213,8 +213,8 @@
     evictions_.push_back(aNow);
   }
   aSteps.push_back(*best);
-  aMemory.settledAt_ = aNow + rules_.settle_;
-  aMemory.pressedSince_.reset();
+  aState.nextStepAt_ = aNow + rules_.settleTime_;
+  aState.excessSince_.reset();
 }
 
 void
@@ -222,24 +222,25 @@
                   std::size_t aIndex,
                   const PressedWorker& aWorker,
                   std::span<const Candidate> aCandidates,
-                  double aRoom,
-                  WorkerMemory& aMemory,
+                  double aAllowance,
+                  WorkerState& aState,
                   Instant aNow) const
 {
-  double room = aRoom;
-  for (auto place = aCandidates.rbegin(); place != aCandidates.rend();
-       ++place) {
-    const double now = aWorker.tasks_[place->task_].throttle_;
+  double room = aAllowance;
+  for (auto candidate = aCandidates.rbegin(); candidate != aCandidates.rend();
+       ++candidate) {
+    const double now = aWorker.tasks_[candidate->task_].throttle_;
     if (now >= 1) {
       continue;
     }
     const double wanted = std::min(1.0, now * 2);
-    room -= place->cost_ * (wanted - now);
+    room -= candidate->cost_ * (wanted - now);
     if (room < 0) {
       return;
     }
-    aSteps.push_back({ ReactionKind::Restore, aIndex, place->task_, wanted });
-    aMemory.settledAt_ = aNow + rules_.settle_;
+    aSteps.push_back(
+      { ReactionKind::Restore, aIndex, candidate->task_, wanted });
+    aState.nextStepAt_ = aNow + rules_.settleTime_;
   }
 }
 
--- a/Source/Version/Reaction.h
+++ b/Source/Version/Reaction.h
@@ -88,14 +88,14 @@
     double allowedSlowdown_ = 0.8;
     /** Share of the allowed slowdown below which throttles are released; the
      * gap is hysteresis. */
-    double releasePart_ = 0.7;
-    double deepestThrottle_ = 0.25;
+    double releaseShare_ = 0.7;
+    double minThrottle_ = 0.25;
     /** Time without further steps on a worker after a step, because reports are
      * delayed. */
-    Millis settle_{ 1500 };
+    Millis settleTime_{ 1500 };
     /** Time for which an excessive slowdown must persist, with all throttles
      * applied, before a move or an eviction. */
-    Millis patience_{ 6000 };
+    Millis pressureTimeout_{ 6000 };
     Millis evictionPeriod_{ 60000 };
     std::size_t evictionsPerPeriod_ = 2;
   };
@@ -110,22 +110,21 @@
 
   /** Returns the steps that free capacity for an urgent task, all on one
    * worker; empty if none are needed or possible. The evictions count as
-   * carried out.
-   */
+   * carried out. */
   std::vector<ReactionStep> MakeRoom(const Resources& aSize,
                                      std::span<const PressedWorker> aWorkers,
                                      Instant aNow);
 
 private:
-  struct WorkerMemory
+  struct WorkerState
   {
     /** Smoothed over reports, because a single one covers about a second and is
      * mostly noise. */
     double slowdown_ = 1;
     Instant measuredAt_;
-    std::optional<Instant> pressedSince_;
+    std::optional<Instant> excessSince_;
     /** Time before which no further steps are taken. */
-    Instant settledAt_;
+    Instant nextStepAt_;
   };
 
   struct Candidate
@@ -134,7 +133,7 @@
     /** Slowdown that the unthrottled task adds. */
     double cost_ = 0;
     /** cost_ per processor: the relief relative to the work lost. */
-    double density_ = 0;
+    double costPerCore_ = 0;
   };
 
   double PriceOfRemoval(const RunningTask& aTask) const;
@@ -144,7 +143,7 @@
   std::size_t EvictionsLeft(Instant aNow);
   /** Returns the slowdown beyond 1 that is allowed at this load. */
   double AllowedAt(double aLoad) const;
-  void Observe(WorkerMemory& aMemory,
+  void Observe(WorkerState& aState,
                const PressedWorker& aWorker,
                const InterferenceModel& aModel,
                InterferenceModel::Program aVictim) const;
@@ -153,26 +152,26 @@
                const PressedWorker& aWorker,
                std::span<const Candidate> aCandidates,
                double aExcess,
-               WorkerMemory& aMemory,
+               WorkerState& aState,
                Instant aNow);
   void Remove(std::vector<ReactionStep>& aSteps,
               std::size_t aIndex,
               const PressedWorker& aWorker,
               std::span<const Candidate> aCandidates,
               double aExcess,
-              WorkerMemory& aMemory,
+              WorkerState& aState,
               Instant aNow);
   void Release(std::vector<ReactionStep>& aSteps,
                std::size_t aIndex,
                const PressedWorker& aWorker,
                std::span<const Candidate> aCandidates,
-               double aRoom,
-               WorkerMemory& aMemory,
+               double aAllowance,
+               WorkerState& aState,
                Instant aNow) const;
 
   Rules rules_;
   PolicyWeights weights_;
-  std::unordered_map<std::string, WorkerMemory> workers_;
+  std::unordered_map<std::string, WorkerState> workers_;
   std::deque<Instant> evictions_;
 };
 
--- a/Source/Version/ReturnPacing.cxx
+++ b/Source/Version/ReturnPacing.cxx
@@ -11,49 +11,50 @@
 }
 
 Instant
-ReturnPacing::After(Instant aNow, std::uint64_t aRandom) const
+ReturnPacing::RandomDelayFrom(Instant aNow, std::uint64_t aRandom) const
 {
-  const auto most =
-    static_cast<std::uint64_t>(Micros(rules_.longestWait_).count());
-  return aNow + Micros(static_cast<std::int64_t>(aRandom % (most + 1)));
+  const auto maxWaitMicros =
+    static_cast<std::uint64_t>(Micros(rules_.maxWait_).count());
+  return aNow +
+         Micros(static_cast<std::int64_t>(aRandom % (maxWaitMicros + 1)));
 }
 
 void
 ReturnPacing::OnOutage(Instant aNow, std::uint64_t aRandom)
 {
-  paced_ = true;
-  perSecond_ = rules_.firstPerSecond_;
-  nextAt_ = After(aNow, aRandom);
-  doubledAt_ = nextAt_;
+  limited_ = true;
+  perSecond_ = rules_.initialPerSecond_;
+  nextAt_ = RandomDelayFrom(aNow, aRandom);
+  rateChangedAt_ = nextAt_;
 }
 
 void
 ReturnPacing::OnSuccess(Instant aNow)
 {
-  if (!paced_ || aNow < doubledAt_ + rules_.doubleEvery_) {
+  if (!limited_ || aNow < rateChangedAt_ + rules_.doublingInterval_) {
     return;
   }
   perSecond_ *= 2;
-  doubledAt_ = aNow;
-  paced_ = perSecond_ <= rules_.mostPerSecond_;
+  rateChangedAt_ = aNow;
+  limited_ = perSecond_ <= rules_.maxPerSecond_;
 }
 
 void
 ReturnPacing::OnFailure(Instant aNow, std::uint64_t aRandom)
 {
-  if (!paced_) {
+  if (!limited_) {
     OnOutage(aNow, aRandom);
     return;
   }
-  perSecond_ = std::max(rules_.firstPerSecond_ / 2, perSecond_ / 2);
-  nextAt_ = std::max(nextAt_, After(aNow, aRandom));
-  doubledAt_ = aNow;
+  perSecond_ = std::max(rules_.initialPerSecond_ / 2, perSecond_ / 2);
+  nextAt_ = std::max(nextAt_, RandomDelayFrom(aNow, aRandom));
+  rateChangedAt_ = aNow;
 }
 
 bool
 ReturnPacing::TryTake(Instant aNow)
 {
-  if (!paced_) {
+  if (!limited_) {
     return true;
   }
   if (aNow < nextAt_) {
@@ -70,9 +71,9 @@
 }
 
 bool
-ReturnPacing::IsPaced() const
+ReturnPacing::IsLimited() const
 {
-  return paced_;
+  return limited_;
 }
 
 }
--- a/Source/Version/ReturnPacing.h
+++ b/Source/Version/ReturnPacing.h
@@ -9,7 +9,7 @@
 /**
  * Limits the rate of a process's writes to the table service after an outage.
  * If all processes sent their deferred writes at once, the service would be
- * overloaded again. Each process waits for a random time up to longestWait_,
+ * overloaded again. Each process waits for a random time up to maxWait_,
  * starts at a low rate, doubles it while writes succeed and halves it when one
  * fails. Does no I/O and reads no clock; the caller supplies random numbers.
  */
@@ -18,18 +18,19 @@
 public:
   struct Rules
   {
-    double firstPerSecond_ = 2;
-    double mostPerSecond_ = 50;
-    Millis doubleEvery_{ 1000 };
-    Millis longestWait_{ 2000 };
+    double initialPerSecond_ = 2;
+    double maxPerSecond_ = 50;
+    Millis doublingInterval_{ 1000 };
+    Millis maxWait_{ 2000 };
   };
 
   explicit ReturnPacing(const Rules& aRules);
 
-  /** Starts rate limiting after the service became unreachable. */
+  /** Starts rate limiting after the service became unreachable. Single writes
+   * then serve as probes. */
   void OnOutage(Instant aNow, std::uint64_t aRandom);
-  /** Doubles the rate at intervals of doubleEvery_; ends rate limiting above
-   * mostPerSecond_. */
+  /** Doubles the rate at intervals of doublingInterval_; ends rate limiting
+   * above maxPerSecond_. */
   void OnSuccess(Instant aNow);
   /** Halves the rate and adds a random wait; starts rate limiting if it is off.
    */
@@ -40,16 +41,16 @@
   /** Returns the earliest time at which TryTake() can succeed. */
   Instant NextAt() const;
   /** Returns whether rate limiting is on. */
-  bool IsPaced() const;
+  bool IsLimited() const;
 
 private:
-  Instant After(Instant aNow, std::uint64_t aRandom) const;
+  Instant RandomDelayFrom(Instant aNow, std::uint64_t aRandom) const;
 
   Rules rules_;
-  bool paced_ = false;
+  bool limited_ = false;
   double perSecond_ = 0;
   Instant nextAt_;
-  Instant doubledAt_;
+  Instant rateChangedAt_;
 };
 
 }
--- a/Source/Version/Selector.cxx
+++ b/Source/Version/Selector.cxx
@@ -11,14 +11,14 @@
     std::find_if(aLabels.begin(), aLabels.end(), [this](const auto& aLabel) {
       return aLabel.first == name_;
     });
-  const bool there = found != aLabels.end();
+  const bool exists = found != aLabels.end();
   switch (test_) {
     case Test::Equals:
-      return there && found->second == value_;
+      return exists && found->second == value_;
     case Test::Differs:
-      return !there || found->second != value_;
+      return !exists || found->second != value_;
     default:
-      return there;
+      return exists;
   }
 }
 
@@ -43,7 +43,7 @@
       return NotRun(
         FailureKind::BadInput,
         "The selector '" + std::string(aText) +
-          "' has a part without a label name. Write "
+          "' has a part without a label name; write "
           "NAME=VALUE, NAME!=VALUE or NAME, or * to select all work.");
     }
     if (equals != std::string_view::npos) {
--- a/Source/Version/ServingLoad.h
+++ b/Source/Version/ServingLoad.h
@@ -5,7 +5,7 @@
 namespace cactusrail {
 
 /** A learned value and the variance of its estimate. */
-struct LearnedFigure
+struct ScalarEstimate
 {
   double mean_ = 0;
   double variance_ = 0;
@@ -36,13 +36,13 @@
   /** Corrects the load by the error of a measurement with the given gain. */
   void Correct(double aError, double aGain);
 
-  const LearnedFigure& Figure() const { return load_; }
+  const ScalarEstimate& Estimate() const { return load_; }
   /** Returns the upper limit of the load within this time from the last
    * measurement. */
-  double AtMost(Millis aAhead) const;
+  double MaxWithin(Millis aAhead) const;
 
 private:
-  LearnedFigure load_;
+  ScalarEstimate load_;
   /** Highest load observed, decaying slowly. */
   double peak_;
 };
--- a/Source/Version/UsageEstimate.cxx
+++ b/Source/Version/UsageEstimate.cxx
@@ -8,11 +8,11 @@
 namespace {
 
 /** Ratio of used to declared values for a program without observations. */
-constexpr double kUnseenRatio = 1.2;
+constexpr double kPriorRatio = 1.2;
 /** Weight of the prior ratio, in observations. */
 constexpr double kPriorWeight = 3;
 /** Number of observations over which old ones decay. */
-constexpr double kLongestMemory = 50;
+constexpr double kDecayObservations = 50;
 
 std::int64_t
 Scale(std::int64_t aDeclared, double aRatio)
@@ -32,20 +32,20 @@
 void
 UsageEstimate::Ratio::Learn(double aValue)
 {
-  seen_ = std::min(kLongestMemory, seen_ + 1);
+  observations_ = std::min(kDecayObservations, observations_ + 1);
   const double error = aValue - mean_;
-  mean_ += error / seen_;
-  variance_ += (error * error - variance_) / seen_;
-  if (seen_ == 1) {
+  mean_ += error / observations_;
+  variance_ += (error * error - variance_) / observations_;
+  if (observations_ == 1) {
     variance_ = 0;
   }
 }
 
 double
-UsageEstimate::Ratio::Cautious() const
+UsageEstimate::Ratio::Conservative() const
 {
-  const double part = seen_ / (seen_ + kPriorWeight);
-  return part * (mean_ + std::sqrt(variance_)) + (1 - part) * kUnseenRatio;
+  const double part = observations_ / (observations_ + kPriorWeight);
+  return part * (mean_ + std::sqrt(variance_)) + (1 - part) * kPriorRatio;
 }
 
 UsageEstimate::Program&
@@ -86,15 +86,15 @@
   const Program program = found == programs_.end() ? Program{} : found->second;
   ExpectedUsage expected;
   expected.resources_.milliCpus_ =
-    Scale(aDeclared.milliCpus_, program.cpu_.Cautious());
+    Scale(aDeclared.milliCpus_, program.cpu_.Conservative());
   expected.resources_.memoryMb_ =
-    Scale(aDeclared.memoryMb_, program.memory_.Cautious());
+    Scale(aDeclared.memoryMb_, program.memory_.Conservative());
   // Accelerators are whole devices, so a task uses exactly what it declares.
   expected.resources_.accelerators_ = aDeclared.accelerators_;
   expected.runMs_ = static_cast<std::uint64_t>(
-    Scale(static_cast<std::int64_t>(aDeclaredMs), program.run_.Cautious()));
+    Scale(static_cast<std::int64_t>(aDeclaredMs), program.run_.Conservative()));
   expected.confidence_ =
-    program.cpu_.seen_ / (program.cpu_.seen_ + kPriorWeight);
+    program.cpu_.observations_ / (program.cpu_.observations_ + kPriorWeight);
   return expected;
 }
 
--- a/Source/Version/UsageEstimate.h
+++ b/Source/Version/UsageEstimate.h
@@ -44,10 +44,10 @@
   {
     double mean_ = 1;
     double variance_ = 0;
-    double seen_ = 0;
+    double observations_ = 0;
 
     void Learn(double aValue);
-    double Cautious() const;
+    double Conservative() const;
   };
   struct Program
   {
--- a/Source/Version/WorkerHealth.cxx
+++ b/Source/Version/WorkerHealth.cxx
@@ -14,11 +14,11 @@
 {
   Worker& worker = workers_[std::string(aWorker)];
   worker.failedJobs_.clear();
-  worker.setAside_ = false;
-  worker.pause_ = Millis(0);
+  worker.cordoned_ = false;
+  worker.probeDelay_ = Millis(0);
   Job& job = jobs_[std::string(aJob)];
   job.succeeded_ = true;
-  job.failedOn_.clear();
+  job.failedWorkers_.clear();
 }
 
 void
@@ -30,35 +30,35 @@
   const std::string jobName(aJob);
   Worker& worker = workers_[workerName];
   Job& job = jobs_[jobName];
-  if (worker.setAside_) {
+  if (worker.cordoned_) {
     // The probe of a cordoned worker failed; this is no evidence against the
     // job.
-    SetAside(workerName, worker, aNow);
+    Cordon(workerName, worker, aNow);
     return;
   }
   if (job.parked_) {
     return;
   }
   worker.failedJobs_.insert(jobName);
-  job.failedOn_.insert(workerName);
+  job.failedWorkers_.insert(workerName);
   if (worker.failedJobs_.size() >= rules_.jobsToSetAside_) {
-    SetAside(workerName, worker, aNow);
+    Cordon(workerName, worker, aNow);
     return;
   }
-  if (!job.succeeded_ && job.failedOn_.size() >= rules_.workersToPark_) {
+  if (!job.succeeded_ && job.failedWorkers_.size() >= rules_.workersToPark_) {
     Park(jobName, job);
   }
 }
 
 void
-WorkerHealth::SetAside(const std::string& aName, Worker& aWorker, Instant aNow)
+WorkerHealth::Cordon(const std::string& aName, Worker& aWorker, Instant aNow)
 {
-  aWorker.setAside_ = true;
-  aWorker.pause_ =
-    std::clamp(aWorker.pause_ * 2, rules_.firstPause_, rules_.longestPause_);
-  aWorker.probeAt_ = aNow + aWorker.pause_;
+  aWorker.cordoned_ = true;
+  aWorker.probeDelay_ = std::clamp(
+    aWorker.probeDelay_ * 2, rules_.minProbeDelay_, rules_.maxProbeDelay_);
+  aWorker.probeAt_ = aNow + aWorker.probeDelay_;
   for (const std::string& jobName : aWorker.failedJobs_) {
-    jobs_[jobName].failedOn_.erase(aName);
+    jobs_[jobName].failedWorkers_.erase(aName);
   }
   aWorker.failedJobs_.clear();
 }
@@ -67,7 +67,7 @@
 WorkerHealth::Park(const std::string& aName, Job& aJob)
 {
   aJob.parked_ = true;
-  for (const std::string& workerName : aJob.failedOn_) {
+  for (const std::string& workerName : aJob.failedWorkers_) {
     workers_[workerName].failedJobs_.erase(aName);
   }
 }
@@ -76,8 +76,8 @@
 WorkerHealth::OnStart(std::string_view aWorker, Instant aNow)
 {
   const auto found = workers_.find(std::string(aWorker));
-  if (found != workers_.end() && found->second.setAside_) {
-    found->second.probeAt_ = aNow + found->second.pause_;
+  if (found != workers_.end() && found->second.cordoned_) {
+    found->second.probeAt_ = aNow + found->second.probeDelay_;
   }
 }
 
@@ -85,7 +85,7 @@
 WorkerHealth::IsSetAside(std::string_view aWorker, Instant aNow) const
 {
   const auto found = workers_.find(std::string(aWorker));
-  return found != workers_.end() && found->second.setAside_ &&
+  return found != workers_.end() && found->second.cordoned_ &&
          aNow < found->second.probeAt_;
 }
 
@@ -97,21 +97,20 @@
 }
 
 std::string
-WorkerHealth::WhyParked(std::string_view aJob) const
+WorkerHealth::ParkedReason(std::string_view aJob) const
 {
   const auto found = jobs_.find(std::string(aJob));
   if (found == jobs_.end() || !found->second.parked_) {
     return {};
   }
   std::string names;
-  for (const std::string& name : found->second.failedOn_) {
+  for (const std::string& name : found->second.failedWorkers_) {
     names += (names.empty() ? "" : ", ") + name;
   }
   return "Every task of job " + std::string(aJob) + " failed, on the workers " +
          names +
          ", which run other jobs without failure. Correct the job and create "
-         "it "
-         "again.";
+         "it again.";
 }
 
 void
--- a/Source/Version/WorkerHealth.h
+++ b/Source/Version/WorkerHealth.h
@@ -30,8 +30,8 @@
     std::size_t workersToPark_ = 3;
     /** Time from cordoning a worker to the first probe; doubles with each
      * failed probe up to the limit below. */
-    Millis firstPause_{ 5000 };
-    Millis longestPause_{ 300000 };
+    Millis minProbeDelay_{ 5000 };
+    Millis maxProbeDelay_{ 300000 };
   };
 
   explicit WorkerHealth(const Rules& aRules);
@@ -47,7 +47,7 @@
   bool IsParked(std::string_view aJob) const;
   /** Returns the reason as sentences for operators; empty if the job is not
    * parked. */
-  std::string WhyParked(std::string_view aJob) const;
+  std::string ParkedReason(std::string_view aJob) const;
   /** Discards the failures of a job that an operator has changed, so that it is
    * placed again. */
   void Unpark(std::string_view aJob);
@@ -56,18 +56,18 @@
   struct Worker
   {
     std::set<std::string, std::less<>> failedJobs_;
-    bool setAside_ = false;
-    Millis pause_{ 0 };
+    bool cordoned_ = false;
+    Millis probeDelay_{ 0 };
     Instant probeAt_;
   };
   struct Job
   {
-    std::set<std::string, std::less<>> failedOn_;
+    std::set<std::string, std::less<>> failedWorkers_;
     bool succeeded_ = false;
     bool parked_ = false;
   };
 
-  void SetAside(const std::string& aName, Worker& aWorker, Instant aNow);
+  void Cordon(const std::string& aName, Worker& aWorker, Instant aNow);
   void Park(const std::string& aName, Job& aJob);
 
   Rules rules_;
--- a/Tests/Unit/ContentionModelTest.cxx
+++ b/Tests/Unit/ContentionModelTest.cxx
@@ -52,11 +52,11 @@
     }
   }
 
-  void Report(double aUtilisation, std::span<const Neighbour> aBeside)
+  void Report(double aUtilisation, std::span<const Neighbour> aNeighbours)
   {
     const double pressure = PressureAt(aUtilisation);
     model_.OnReported(watcher_, pressure);
-    model_.OnMeasured(watcher_, "job", pressure, aBeside, now_);
+    model_.OnMeasured(watcher_, "job", pressure, aNeighbours, now_);
   }
 
   static double LoadAt(Instant aTime)
@@ -93,7 +93,7 @@
 
 // The load of the watcher oscillates during learning, which must neither shift
 // the cost nor keep its deviation high.
-Test(ContentionModel, CostStaysTheSameWhileTheLoadSwings)
+Test(ContentionModel, CostIsStableWhileTheLoadOscillates)
 {
   ContentionBench bench;
   bench.Learn(0.2, 28);
@@ -108,7 +108,7 @@
 
 // The watcher's own requests make its latency vary by a factor of two next to a
 // harmless neighbour. That variation must not be attributed to the neighbour.
-Test(ContentionModel, SwingOfItsOwnUsersIsNotBlamedOnTheNeighbour)
+Test(ContentionModel, OwnLoadVariationIsNotAttributedToNeighbour)
 {
   ContentionBench bench;
   bench.Learn(0, 40);
@@ -118,7 +118,7 @@
 
 // An unknown pair must have a high deviation, so that it counts neither as
 // harmless nor as harmful.
-Test(ContentionModel, UnknownPairIsInDoubt)
+Test(ContentionModel, UnknownPairHasHighDeviation)
 {
   ContentionBench bench;
   const ContentionCost cost = bench.model_.CostOf(bench.watcher_, bench.batch_);
@@ -128,7 +128,7 @@
 // The latency of a saturated task does not show by how much its load exceeds
 // the capacity. Such a measurement must not lower the cost of further
 // neighbours.
-Test(ContentionModel, FullTaskTeachesNothing)
+Test(ContentionModel, SaturatedTaskDoesNotLowerCosts)
 {
   ContentionBench bench;
   bench.Learn(0.2, 28);
@@ -159,7 +159,7 @@
 }
 
 // The load of an ended job is removed; the costs of its image stay.
-Test(ContentionModel, LoadsOfEndedJobsAreForgotten)
+Test(ContentionModel, LoadsOfEndedJobsAreRemoved)
 {
   ContentionBench bench;
   bench.Learn(0.2, 28);
--- a/Tests/Unit/DurationModelTest.cxx
+++ b/Tests/Unit/DurationModelTest.cxx
@@ -12,59 +12,60 @@
 /** Batch steps as on a fleet of eleven workers: the typical duration is 2.4 s,
  * varying by a factor of 1.6, and the callers' estimates are wrong by a factor
  * of 2.5. */
-constexpr double kMiddleMs = 2400;
-constexpr double kSpread = 0.5;
-constexpr double kEstimateOff = 0.9;
+constexpr double kMedianDurationMs = 2400;
+constexpr double kDurationDeviation = 0.5;
+constexpr double kEstimateDeviation = 0.9;
 
 struct Step
 {
   std::int64_t estimateMs_ = 0;
-  double tookMs_ = 0;
+  double durationMs_ = 0;
 };
 
-class Caller
+class StepGenerator
 {
 public:
-  explicit Caller(double aEstimateOff)
-    : estimateOff_(aEstimateOff)
+  explicit StepGenerator(double aEstimateDeviation)
+    : estimateDeviation_(aEstimateDeviation)
   {
   }
 
   Step Next()
   {
-    const double took =
-      std::exp(std::log(kMiddleMs) + kSpread * normal_(generator_));
-    const double estimate = took * std::exp(estimateOff_ * normal_(generator_));
-    return { static_cast<std::int64_t>(estimate), took };
+    const double duration = std::exp(std::log(kMedianDurationMs) +
+                                     kDurationDeviation * normal_(generator_));
+    const double estimate =
+      duration * std::exp(estimateDeviation_ * normal_(generator_));
+    return { static_cast<std::int64_t>(estimate), duration };
   }
 
 private:
-  double estimateOff_;
+  double estimateDeviation_;
   std::mt19937 generator_{ 7 };
   std::normal_distribution<double> normal_;
 };
 
 /** Returns the root mean square of log(expected / actual duration). */
 double
-ErrorAfter(std::size_t aSteps, double aEstimateOff, bool aLearn)
+ErrorAfter(std::size_t aSteps, double aEstimateDeviation, bool aLearn)
 {
   DurationModel model;
-  Caller caller(aEstimateOff);
+  StepGenerator generator(aEstimateDeviation);
   for (std::size_t i = 0; i < aSteps; ++i) {
-    const Step step = caller.Next();
+    const Step step = generator.Next();
     if (aLearn) {
-      model.OnTook("batch", step.estimateMs_, step.tookMs_, 1);
+      model.OnTook("batch", step.estimateMs_, step.durationMs_, 1);
     }
   }
   double squares = 0;
-  constexpr int kJudged = 400;
-  for (int i = 0; i < kJudged; ++i) {
-    const Step step = caller.Next();
-    const double error =
-      std::log(model.ExpectedMillis("batch", step.estimateMs_) / step.tookMs_);
+  constexpr int kEvaluatedSteps = 400;
+  for (int i = 0; i < kEvaluatedSteps; ++i) {
+    const Step step = generator.Next();
+    const double error = std::log(
+      model.ExpectedMillis("batch", step.estimateMs_) / step.durationMs_);
     squares += error * error;
   }
-  return std::sqrt(squares / kJudged);
+  return std::sqrt(squares / kEvaluatedSteps);
 }
 
 }
@@ -73,16 +74,16 @@
 // expected duration. An estimate that is far too high, such as 27 s for a step
 // of 2 s, makes the step appear to have the most time left, and it starts too
 // late.
-Test(DurationModel, LearnsHowLittleEstimatesSay)
+Test(DurationModel, CorrectsInaccurateEstimates)
 {
-  const double believed = ErrorAfter(30, kEstimateOff, false);
-  const double learned = ErrorAfter(30, kEstimateOff, true);
-  cr_assert_gt(believed, 0.8);
+  const double withoutLearning = ErrorAfter(30, kEstimateDeviation, false);
+  const double learned = ErrorAfter(30, kEstimateDeviation, true);
+  cr_assert_gt(withoutLearning, 0.8);
   cr_assert_lt(learned, 0.6);
 }
 
 // Accurate estimates must not be degraded by the model.
-Test(DurationModel, KeepsEstimatesThatAreRight)
+Test(DurationModel, KeepsAccurateEstimates)
 {
   cr_assert_lt(ErrorAfter(30, 0.1, true), 0.15);
 }
@@ -103,7 +104,7 @@
 
 // Without samples of its queue, an estimate is returned unchanged. Without an
 // estimate, the result is 0.
-Test(DurationModel, BelievesWhatItKnowsNothingOf)
+Test(DurationModel, ReturnsEstimateWithoutSamples)
 {
   DurationModel model;
   model.OnTook("batch", 1000, 4000, 1);
--- a/Tests/Unit/LearnedPlacementTest.cxx
+++ b/Tests/Unit/LearnedPlacementTest.cxx
@@ -51,7 +51,7 @@
 
 /** Returns the workers with reports that include all earlier placements. */
 std::vector<WorkerFacts>
-Later(std::vector<WorkerFacts> aWorkers, Instant aNow)
+WithReportsAt(std::vector<WorkerFacts> aWorkers, Instant aNow)
 {
   for (WorkerFacts& worker : aWorkers) {
     worker.reportedAt_ = aNow;
@@ -63,15 +63,18 @@
 class Recorder : public FirstFitPlacement
 {
 public:
-  explicit Recorder(std::vector<WorkerUsage>& aHeard)
-    : heard_(aHeard)
+  explicit Recorder(std::vector<WorkerUsage>& aReceived)
+    : received_(aReceived)
   {
   }
 
-  void OnUsage(const WorkerUsage& aUsage, Instant) { heard_.push_back(aUsage); }
+  void OnUsage(const WorkerUsage& aUsage, Instant)
+  {
+    received_.push_back(aUsage);
+  }
 
 private:
-  std::vector<WorkerUsage>& heard_;
+  std::vector<WorkerUsage>& received_;
 };
 
 /** Sends reports of one worker for 30 s, two per second. */
@@ -95,7 +98,7 @@
 
 // Tasks that use three times their declared memory are killed on a worker where
 // only the declared size fits.
-Test(LearnedPlacement, DeclaredTooSmallGoesWhereTheTrueUseFits)
+Test(LearnedPlacement, UnderdeclaredTaskIsPlacedByActualUsage)
 {
   const auto chooser = MakeChooser(LearnedPlacement(kSeed));
   const std::vector<WorkerFacts> workers{ Worker("half full", 30000),
@@ -105,12 +108,12 @@
     *chooser->Choose(task, workers, At(0)), 0, "placed by declared size");
   Report(*chooser, { "other", { 1000, 30000, 0 }, { Running("glutton") } });
   const Instant later = At(31000);
-  cr_assert_eq(*chooser->Choose(task, Later(workers, later), later), 1);
+  cr_assert_eq(*chooser->Choose(task, WithReportsAt(workers, later), later), 1);
 }
 
 // Tasks that use a third of their declared memory would leave workers half
 // empty if placed by the declared size.
-Test(LearnedPlacement, DeclaredTooLargeIsPackedByItsTrueUse)
+Test(LearnedPlacement, OverdeclaredTaskIsPackedByActualUsage)
 {
   const auto chooser = MakeChooser(LearnedPlacement(kSeed));
   const std::vector<WorkerFacts> workers{ Worker("half full", 30000),
@@ -121,17 +124,17 @@
                "no observations: conservative estimate");
   Report(*chooser, { "other", { 1000, 3300, 0 }, { Running("modest") } });
   const Instant later = At(31000);
-  cr_assert_eq(*chooser->Choose(task, Later(workers, later), later), 0);
+  cr_assert_eq(*chooser->Choose(task, WithReportsAt(workers, later), later), 0);
 }
 
 // A program with low observed usage may use its full declared size at any time,
 // so a worker's declared sizes must never exceed its capacity.
-Test(LearnedPlacement, NeverBeyondTheDeclaredSizeHoweverLongItWaits)
+Test(LearnedPlacement, DeclaredSizeIsNeverExceededAfterDeferral)
 {
   LearnedPlacement placement(kSeed);
   Report(placement, { "other", { 100, 1000, 0 }, { Running("modest") } });
   std::vector<WorkerFacts> workers{ Worker("full", 50000),
-                                    Worker("set aside", 0) };
+                                    Worker("cordoned worker", 0) };
   workers[1].setAside_ = true;
   for (std::int64_t time = 31000; time < 120000; time += 1000) {
     cr_assert_not(
@@ -142,8 +145,7 @@
 // A job is accepted because its declared size fits a worker. If its expected
 // usage exceeds every worker, it would never start and no reason would be
 // shown.
-
-Test(LearnedPlacement, ATaskThatFitsAsDeclaredIsHeldBackForSomeSecondsOnly)
+Test(LearnedPlacement, TaskThatFitsAsDeclaredIsDeferredForLimitedTime)
 {
   LearnedPlacement placement(kSeed);
   const std::vector<WorkerFacts> workers{ Worker("empty", 0) };
@@ -157,7 +159,7 @@
 
 // A report sent before the tasks started shows almost no usage. If it were
 // used, the program would be placed as if it needed no resources.
-Test(LearnedPlacement, ReportsThatLagBehindAChangeTeachNothing)
+Test(LearnedPlacement, ReportsFromBeforeATaskChangeAreIgnored)
 {
   LearnedPlacement placement(kSeed);
   const Resources declared{ 1000, 10000, 0 };
@@ -171,7 +173,7 @@
 
 // A worker that does not measure usage reports zero. If that were used, its
 // programs would be placed as if they needed no resources.
-Test(LearnedPlacement, AWorkerThatMeasuresNothingTeachesNothing)
+Test(LearnedPlacement, ReportsWithoutMeasurementAreIgnored)
 {
   LearnedPlacement placement(kSeed);
   Report(placement, { "w", {}, { Running("a") } });
@@ -180,7 +182,7 @@
 
 // A worker reports the total usage of all its tasks. The usage of a large
 // program must not be attributed to a small one next to it.
-Test(LearnedPlacement, ProgramsInMixedCompanyAreToldApart)
+Test(LearnedPlacement, UsageIsAttributedToTheRightProgram)
 {
   LearnedPlacement placement(kSeed);
   const WorkerUsage alone{ "w1", { 1000, 10000, 0 }, { Running("modest") } };
@@ -201,13 +203,13 @@
 // The scheduler core forwards only reports that cover every allocated task.
 // From an incomplete report the usage of the missing tasks would be attributed
 // to the others, or all tasks would appear to use nothing.
-Test(LearnedPlacement, TheCoreHandsOnWholeReportsOnly)
+Test(LearnedPlacement, CoreForwardsOnlyCompleteReports)
 {
-  std::vector<WorkerUsage> heard;
+  std::vector<WorkerUsage> received;
   WorkWorld::Options options;
   options.traced_ = false;
-  options.chooser_ = [&heard](std::uint64_t) {
-    return MakeChooser(Recorder(heard));
+  options.chooser_ = [&received](std::uint64_t) {
+    return MakeChooser(Recorder(received));
   };
   WorkWorld world(options);
   world.AddWorker("w1", "r1", { 8000, 1000, 0 });
@@ -222,32 +224,32 @@
   request.spec_.declared_ = { 1000, 100, 0 };
   world.Ask("e1", request);
   world.Run(10000000);
-  cr_assert_not(heard.empty());
-  const WorkerUsage last = heard.back();
+  cr_assert_not(received.empty());
+  const WorkerUsage last = received.back();
   cr_assert_eq(last.workerId_, "w1");
   cr_assert_eq(last.tasks_.size(), 3);
   cr_assert_eq(last.tasks_[0].program_, "program");
   cr_assert_eq(last.tasks_[0].declared_.milliCpus_, 1000);
   cr_assert_eq(last.used_.milliCpus_, 3000);
-  heard.clear();
+  received.clear();
   world.WorkerOf("w1").reportsLess_ = true;
   world.Run(10000000);
-  for (const WorkerUsage& usage : heard) {
+  for (const WorkerUsage& usage : received) {
     cr_assert_eq(usage.tasks_.size(), 3);
   }
   world.WorkerOf("w1").reportsLess_ = false;
   WorkerTasks& tasks = *world.WorkerOf("w1").tasks_;
   const std::int64_t clock = world.Now();
-  StartCommand stray;
+  StartCommand unknownTask;
   const WorkerReport before = tasks.Report(clock);
-  stray.origin_ = { "dc1/r1", before.cellEpoch_, before.incarnation_ };
-  stray.task_ = { "job.9", 1 };
-  stray.until_ = clock + 3600000000;
-  stray.resources_ = { 4000, 100, 0 };
-  cr_assert_eq(tasks.Handle(stray, clock).refused_, "");
-  heard.clear();
+  unknownTask.origin_ = { "dc1/r1", before.cellEpoch_, before.incarnation_ };
+  unknownTask.task_ = { "job.9", 1 };
+  unknownTask.until_ = clock + 3600000000;
+  unknownTask.resources_ = { 4000, 100, 0 };
+  cr_assert_eq(tasks.Handle(unknownTask, clock).refused_, "");
+  received.clear();
   world.Run(10000000);
-  for (const WorkerUsage& usage : heard) {
+  for (const WorkerUsage& usage : received) {
     cr_assert_eq(usage.used_.milliCpus_,
                  3000,
                  "usage includes a task that is not allocated");
@@ -256,8 +258,7 @@
 
 // In a cell of two workers both are kept open for urgent work. Batch work that
 // leaves too little capacity for it would never start, even on an empty worker.
-
-Test(LearnedPlacement, ASmallCellKeptOpenHoldsBatchBackForSomeSecondsOnly)
+Test(LearnedPlacement, BatchIsDeferredForLimitedTimeInASmallCell)
 {
   LearnedPlacement placement(kSeed);
   const std::vector<WorkerFacts> workers{ Worker("one", 0), Worker("two", 0) };
--- a/Tests/Unit/PlacementEngineTest.cxx
+++ b/Tests/Unit/PlacementEngineTest.cxx
@@ -57,7 +57,7 @@
 
 // A worker with more allocated processors, memory or accelerators than it has
 // cannot meet any guarantee.
-Test(PlacementEngine, NeverBeyondTheDeclaredSizeOrOnAWorkerSetAside)
+Test(PlacementEngine, NeverExceedsCapacityOrUsesACordonedWorker)
 {
   Models models;
   PlacementEngine engine = models.Engine();
@@ -84,7 +84,7 @@
 
 // A program that uses three times its declared size overloads a worker on which
 // the declared sizes fit.
-Test(PlacementEngine, LearnedUseKeepsAWorkerFromOverload)
+Test(PlacementEngine, LearnedUsagePreventsOverload)
 {
   Models models;
   for (int report = 0; report < 30; ++report) {
@@ -99,11 +99,11 @@
   cr_assert(engine.Choose(Batch("modest", 1000), workers, At(1)).has_value());
 }
 
-Test(PlacementEngine, LoudProgramsStayOnTheirWorkers)
+Test(PlacementEngine, DisruptiveProgramsStayOnDesignatedWorkers)
 {
   Models models;
-  const auto loud = models.model_.Number("loud");
-  models.model_.Teach(models.victim_, loud, 0.1, 0.2, At(0));
+  const auto disruptive = models.model_.Number("loud");
+  models.model_.Teach(models.victim_, disruptive, 0.1, 0.2, At(0));
   PlacementEngine engine = models.Engine();
   std::vector<WorkerFacts> workers = Workers(10);
   for (int count = 0; count < 20; ++count) {
@@ -115,7 +115,7 @@
 
 // If batch work uses the last free capacity, an urgent task has to wait seconds
 // for a checkpoint.
-Test(PlacementEngine, BatchLeavesRoomForAnUrgentTask)
+Test(PlacementEngine, BatchLeavesCapacityForAnUrgentTask)
 {
   Models models;
   PlacementEngine engine = models.Engine();
@@ -135,49 +135,53 @@
 
 // A measurement arrives after the disruptive task has ended and a harmless one
 // has started. The slowdown must not be attributed to the harmless program.
-Test(Interference, BlamesTheNeighboursOfTheTimeMeasured)
+Test(Interference, AttributesSlowdownToNeighboursAtMeasurementTime)
 {
   InterferenceHistory history;
   InterferenceModel model(InterferenceModel::Rules{});
   const auto victim = model.Number("service");
-  const auto loud = model.Number("loud");
-  const auto quiet = model.Number("quiet");
-  const std::array loudRuns{ Neighbour{ loud, 1 } };
-  const std::array quietRuns{ Neighbour{ quiet, 1 } };
+  const auto disruptive = model.Number("loud");
+  const auto harmless = model.Number("quiet");
+  const std::array disruptiveTasks{ Neighbour{ disruptive, 1 } };
+  const std::array harmlessTasks{ Neighbour{ harmless, 1 } };
   for (std::int64_t second = 0; second < 200; second += 2) {
-    history.Record("worker", quietRuns, At(second * 1000));
-    history.Record("worker", loudRuns, At(second * 1000 + 1000));
+    history.Record("worker", harmlessTasks, At(second * 1000));
+    history.Record("worker", disruptiveTasks, At(second * 1000 + 1000));
     for (const std::int64_t end : { second + 1, second + 2 }) {
-      const bool wasLoud = end == second + 2;
+      const bool wasDisruptive = end == second + 2;
       const auto neighbours =
         history.Mean("worker", At(end * 1000 - 1000), At(end * 1000));
-      model.OnMeasured(
-        victim, neighbours, 0.5, wasLoud ? 24000 : 20000, 100, At(end * 1000));
+      model.OnMeasured(victim,
+                       neighbours,
+                       0.5,
+                       wasDisruptive ? 24000 : 20000,
+                       100,
+                       At(end * 1000));
     }
   }
-  cr_assert_gt(model.Cost(victim, loud, 0.5),
-               5 * model.Cost(victim, quiet, 0.5));
-  cr_assert_gt(model.Cost(victim, loud, 0.5), 0.1);
+  cr_assert_gt(model.Cost(victim, disruptive, 0.5),
+               5 * model.Cost(victim, harmless, 0.5));
+  cr_assert_gt(model.Cost(victim, disruptive, 0.5), 0.1);
 }
 
-Test(Interference, DoubtFallsWithEvidenceAndComesBackWithTime)
+Test(Interference, DeviationFallsWithEvidenceAndGrowsWithTime)
 {
   InterferenceModel model(InterferenceModel::Rules{});
   const auto victim = model.Number("service");
   const auto program = model.Number("p");
-  const double before = model.Doubt(victim, program, 0.5);
+  const double before = model.CostDeviation(victim, program, 0.5);
   const std::array neighbours{ Neighbour{ program, 2 } };
   for (std::int64_t second = 0; second < 100; ++second) {
     model.OnMeasured(victim, neighbours, 0.5, 21000, 50, At(second * 1000));
   }
-  const double after = model.Doubt(victim, program, 0.5);
+  const double after = model.CostDeviation(victim, program, 0.5);
   cr_assert_lt(after, before / 2);
   const std::array none{ Neighbour{ program, 0 } };
   model.OnMeasured(victim, none, 0.5, 20000, 50, At(1000000));
-  cr_assert_gt(model.Doubt(victim, program, 0.5), after);
+  cr_assert_gt(model.CostDeviation(victim, program, 0.5), after);
 }
 
-Test(FairShare, LeastHeldBesideItsShareGoesFirst)
+Test(FairShare, TenantWithLowestAllocationPerShareIsFirst)
 {
   FairShare shares;
   shares.SetTenant("large", 3, 0);
--- a/Tests/Unit/ReactionTest.cxx
+++ b/Tests/Unit/ReactionTest.cxx
@@ -50,7 +50,7 @@
     return steps;
   }
 
-  void Press(double aLoad, std::int64_t aFromMs, std::int64_t aToMs)
+  void DecideRepeatedly(double aLoad, std::int64_t aFromMs, std::int64_t aToMs)
   {
     for (std::int64_t time = aFromMs; time < aToMs; time += 100) {
       Decide(aLoad, time);
@@ -65,44 +65,44 @@
   std::size_t removed_ = 0;
 };
 
-const PolicyWeights kTailFirst{ 4, 1, 0.1 };
-const PolicyWeights kGentle{ 1.5, 0.7, 8 };
+const PolicyWeights kLatencyFirst{ 4, 1, 0.1 };
+const PolicyWeights kEvictionAverse{ 1.5, 0.7, 8 };
 
 }
 
-Test(Reaction, ThrottlesTheLoudTaskFirstAndLeavesTheQuietAlone)
+Test(Reaction, ThrottlesOnlyTheDisruptiveTask)
 {
-  Fixture fixture(kTailFirst);
+  Fixture fixture(kLatencyFirst);
   fixture.Add("quiet", false, true);
   fixture.Add("loud", false, true);
   const std::vector<ReactionStep> steps = fixture.Decide(0.8, 1000);
   cr_assert_eq(steps.size(), 1);
   cr_assert_eq(steps[0].kind_, ReactionKind::Throttle);
   cr_assert_eq(steps[0].task_, 1);
-  cr_assert(fixture.Decide(0.8, 1100).empty(), "waits for delayed reports");
+  cr_assert(fixture.Decide(0.8, 1100).empty(), "waits for late reports");
 }
 
 // A task is throttled during a load peak and must be released after it. Without
 // hysteresis the throttle would change with each report.
-Test(Reaction, ReleasesWhenThePressureIsGone)
+Test(Reaction, ReleasesThrottleAfterThePeak)
 {
-  Fixture fixture(kTailFirst);
+  Fixture fixture(kLatencyFirst);
   fixture.Add("loud", false, true);
-  fixture.Press(0.7, 0, 3000);
+  fixture.DecideRepeatedly(0.7, 0, 3000);
   cr_assert_lt(fixture.tasks_[0].throttle_, 1);
-  fixture.Press(0.1, 3000, 12000);
+  fixture.DecideRepeatedly(0.1, 3000, 12000);
   cr_assert_float_eq(fixture.tasks_[0].throttle_, 1, 1e-9);
   cr_assert_eq(fixture.counts_[ReactionKind::Evict], 0);
 }
 
 // Evicting a payout batch without a checkpoint may lose or duplicate a payment.
 // It must not happen while another task can be moved.
-Test(Reaction, NeverAPayoutWhileSomethingGentlerIsOpen)
+Test(Reaction, PayoutIsNotEvictedWhileAnotherTaskCanMove)
 {
   Fixture fixture(PolicyWeights{ 100, 1, 0.1 });
   fixture.Add("loud", true, false);
   fixture.Add("loud", false, true);
-  fixture.Press(0.9, 0, 14000);
+  fixture.DecideRepeatedly(0.9, 0, 14000);
   cr_assert_gt(fixture.counts_[ReactionKind::Move], 0);
   cr_assert_eq(fixture.counts_[ReactionKind::Evict], 0);
   cr_assert_eq(fixture.removed_, 1);
@@ -114,22 +114,22 @@
   for (int count = 0; count < 5; ++count) {
     fixture.Add("loud", false, false);
   }
-  fixture.Press(0.9, 0, 59000);
+  fixture.DecideRepeatedly(0.9, 0, 59000);
   cr_assert_eq(fixture.counts_[ReactionKind::Evict], 2);
 }
 
-Test(Reaction, DearEvictionsAreNotWorthASlowRunner)
+Test(Reaction, ExpensiveEvictionsAreNotMade)
 {
-  Fixture fixture(kGentle);
+  Fixture fixture(kEvictionAverse);
   fixture.Add("loud", false, false);
-  fixture.Press(0.8, 0, 60000);
+  fixture.DecideRepeatedly(0.8, 0, 60000);
   cr_assert_eq(fixture.counts_[ReactionKind::Evict], 0);
   cr_assert_gt(fixture.counts_[ReactionKind::Throttle], 0);
 }
 
-Test(Reaction, MakesRoomByMovesRatherThanEvictions)
+Test(Reaction, FreesCapacityByMovesBeforeEvictions)
 {
-  Fixture fixture(kGentle);
+  Fixture fixture(kEvictionAverse);
   fixture.Add("quiet", true, false);
   fixture.Add("quiet", false, true);
   PressedWorker worker;
--- a/Tests/Unit/WorkerHealthTest.cxx
+++ b/Tests/Unit/WorkerHealthTest.cxx
@@ -18,7 +18,7 @@
 
 // A worker that fails every task is always idle, so it would receive every next
 // task and fail the whole queue.
-Test(WorkerHealth, WorkerThatFailsEverythingIsSetAsideAndProbed)
+Test(WorkerHealth, WorkerThatFailsEveryTaskIsCordonedAndProbed)
 {
   WorkerHealth health(WorkerHealth::Rules{});
   for (const char* job : { "a", "b", "c" }) {
@@ -31,21 +31,23 @@
   health.OnStart("bad", At(5100));
   cr_assert(health.IsSetAside("bad", At(5200)), "one probe only");
   health.OnFailure("bad", "a", At(5300));
-  cr_assert(health.IsSetAside("bad", At(14000)), "the probe delay has doubled");
+  cr_assert(health.IsSetAside("bad", At(14000)),
+            "the pause before the next probe has doubled");
   health.OnSuccess("bad", "a");
   cr_assert_not(health.IsSetAside("bad", At(14001)));
 }
 
 // A job that fails everywhere must not cause the cordoning of each worker on
 // which it is tried.
-Test(WorkerHealth, ImpossibleJobIsParkedAndItsWorkersAreNotBlamed)
+Test(WorkerHealth, ImpossibleJobIsParkedAndItsWorkersAreNotCordoned)
 {
   WorkerHealth health(WorkerHealth::Rules{});
   for (const char* worker : { "one", "two", "three" }) {
     health.OnFailure(worker, "impossible", At(0));
   }
   cr_assert(health.IsParked("impossible"));
-  cr_assert_neq(health.WhyParked("impossible").find("one"), std::string::npos);
+  cr_assert_neq(health.ParkedReason("impossible").find("one"),
+                std::string::npos);
   health.OnFailure("one", "a", At(1));
   health.OnFailure("one", "b", At(1));
   cr_assert_not(health.IsSetAside("one", At(2)),
@@ -55,7 +57,7 @@
 }
 
 // A job must not be parked for failures that a faulty worker caused.
-Test(WorkerHealth, BadWorkersFailuresAreTakenOffTheJob)
+Test(WorkerHealth, FailuresOnACordonedWorkerDoNotCountAgainstTheJob)
 {
   WorkerHealth health(WorkerHealth::Rules{});
   health.OnFailure("bad", "unlucky", At(0));
@@ -76,7 +78,7 @@
   cr_assert_not(health.IsParked("job"));
 }
 
-Test(UsageEstimate, StartsCautiousAndLearns)
+Test(UsageEstimate, StartsConservativeAndLearns)
 {
   UsageEstimate usage;
   const Resources declared{ 1000, 1000, 1 };
@@ -97,7 +99,7 @@
 
 // After an outage of the table service, a thousand processes that send their
 // deferred writes at once would overload it again.
-Test(ReturnPacing, ProcessesReturnSpreadAndSlowly)
+Test(ReturnPacing, ProcessesResumeSpreadOutAndAtALowRate)
 {
   int first = 0;
   int inFirstSecond = 0;
@@ -116,16 +118,16 @@
   cr_assert_leq(inFirstSecond, 2000);
 }
 
-Test(ReturnPacing, SpeedsUpWhileItSucceedsAndEnds)
+Test(ReturnPacing, RateGrowsOnSuccessUntilLimitingEnds)
 {
   ReturnPacing pacing(ReturnPacing::Rules{});
   cr_assert(pacing.TryTake(At(0)));
   pacing.OnFailure(At(0), 0);
-  cr_assert(pacing.IsPaced());
-  for (std::int64_t time = 0; time < 10000 && pacing.IsPaced(); time += 10) {
+  cr_assert(pacing.IsLimited());
+  for (std::int64_t time = 0; time < 10000 && pacing.IsLimited(); time += 10) {
     if (pacing.TryTake(At(time))) {
       pacing.OnSuccess(At(time));
     }
   }
-  cr_assert_not(pacing.IsPaced());
+  cr_assert_not(pacing.IsLimited());
 }
