--- a/Source/Version/LearnedPlacement.cxx
+++ b/Source/Version/LearnedPlacement.cxx
@@ -14,21 +14,23 @@
 
 namespace {
 
-/** Reported use lags behind what runs: the tasks must have been the same for
- * this long before it says anything about them. */
-constexpr Millis kSettled{ 2000 };
-/** One worker's reports teach this often, however often it is asked. */
-constexpr Millis kLearnEvery{ 1000 };
-/** A task that fits as declared is held back this long at most. */
-constexpr Millis kLongestWait{ 10000 };
-/** A task not asked for in this time is placed elsewhere or was stopped. */
-constexpr Millis kForgetAfter{ 60000 };
+/** Time for which a worker's tasks must be unchanged before its report is used,
+ * because reported usage lags behind the running tasks. */
+constexpr Millis kMinUnchangedTime{ 2000 };
+/** Minimum interval between two reports of one worker that are used. */
+constexpr Millis kLearnInterval{ 1000 };
+/** Maximum time for which a task that fits by its declared size is deferred. */
+constexpr Millis kMaxDeferral{ 10000 };
+/** Time without a placement request after which a deferred task is removed: it
+ * was placed elsewhere or stopped. */
+constexpr Millis kDeferredExpiry{ 60000 };
 constexpr const char* kUrgentWork = "urgent work";
 
-/** Part of an error that one report corrects. */
-constexpr double kStep = 0.3;
-/** Keeps a program that is lost beside larger ones from standing at zero. */
-constexpr double kLeastRatio = 0.01;
+/** Share of an error that one report corrects. */
+constexpr double kGradientStep = 0.3;
+/** Lower limit of a ratio, so that a program that runs next to much larger ones
+ * is not estimated as zero. */
+constexpr double kMinRatio = 0.01;
 
 std::int64_t
 ShareOf(std::int64_t aUsed, double aPart)
@@ -50,19 +52,21 @@
   {
   }
 
-  /** The tasks that a worker last reported, and since when just these. */
-  struct Watched
+  /** Tasks in a worker's latest report, and the time since which they are the
+   * same. */
+  struct ReportedTasks
   {
     std::vector<std::string> taskIds_;
     Instant since_;
     Instant learnedAt_;
   };
-  struct Held
+  /** A deferred task. */
+  struct DeferredTask
   {
     Instant since_;
-    Instant askedAt_;
+    Instant requestedAt_;
   };
-  /** Used over declared, without spread or caution. */
+  /** Ratios of used to declared resources, without variance or prior. */
   struct Ratios
   {
     double cpu_ = 1;
@@ -75,15 +79,15 @@
                  std::int64_t Resources::*aKind,
                  double Ratios::*aRatio,
                  const Resources& aUsed);
-  bool HeldTooLong(const std::string& aTaskId, Instant aNow);
+  bool IsDeferralOver(const std::string& aTaskId, Instant aNow);
 
   UsageEstimate usage_;
   InterferenceModel interference_{ InterferenceModel::Rules{} };
   PlacementEngine engine_;
   FirstFitPlacement firstFit_;
   std::map<std::string, Ratios> ratios_;
-  std::map<std::string, Watched> watched_;
-  std::map<std::string, Held> held_;
+  std::map<std::string, ReportedTasks> reportedTasks_;
+  std::map<std::string, DeferredTask> deferred_;
 };
 
 bool
@@ -93,24 +97,25 @@
   for (const TaskUsage& task : aUsage.tasks_) {
     taskIds.push_back(task.taskId_);
   }
-  Watched& watched = watched_[aUsage.workerId_];
-  if (watched.taskIds_ != taskIds) {
-    watched = Watched{ std::move(taskIds), aNow, aNow };
+  ReportedTasks& reported = reportedTasks_[aUsage.workerId_];
+  if (reported.taskIds_ != taskIds) {
+    reported = ReportedTasks{ std::move(taskIds), aNow, aNow };
     return false;
   }
-  if (aNow < watched.since_ + kSettled ||
-      aNow < watched.learnedAt_ + kLearnEvery) {
+  if (aNow < reported.since_ + kMinUnchangedTime ||
+      aNow < reported.learnedAt_ + kLearnInterval) {
     return false;
   }
-  watched.learnedAt_ = aNow;
+  reported.learnedAt_ = aNow;
   return true;
 }
 
-/** A worker states only what all its tasks take together. The difference to
- * what was expected of them is laid on each program by its size (a normalized
- * gradient step): where programs run in different company, the ratios come to
- * those of each alone. The cautious figures of the estimate can't serve here:
- * what is in doubt would get the larger part, and stay in doubt. */
+/** A worker reports only the total usage of its tasks. The difference to the
+ * expected total is distributed over the programs in proportion to their
+ * declared sizes (a normalized gradient step). If programs run in different
+ * combinations, the ratios converge to those of each program alone. The
+ * conservative values of UsageEstimate are unsuitable here: an uncertain
+ * program would be assigned a larger part and stay uncertain. */
 void
 LearnedPlacement::Private::Learn(const WorkerUsage& aUsage)
 {
@@ -162,19 +167,21 @@
   for (const auto& [program, declared] : aDeclared) {
     const auto size = static_cast<double>(declared.*aKind);
     double& ratio = ratios_[program].*aRatio;
-    ratio = std::max(kLeastRatio, ratio + kStep * error * size / squares);
+    ratio = std::max(kMinRatio, ratio + kGradientStep * error * size / squares);
   }
 }
 
 bool
-LearnedPlacement::Private::HeldTooLong(const std::string& aTaskId, Instant aNow)
+LearnedPlacement::Private::IsDeferralOver(const std::string& aTaskId,
+                                          Instant aNow)
 {
-  std::erase_if(held_, [aNow](const auto& aHeld) {
-    return aHeld.second.askedAt_ + kForgetAfter < aNow;
+  std::erase_if(deferred_, [aNow](const auto& aEntry) {
+    return aEntry.second.requestedAt_ + kDeferredExpiry < aNow;
   });
-  Held& held = held_.try_emplace(aTaskId, Held{ aNow, aNow }).first->second;
-  held.askedAt_ = aNow;
-  return held.since_ + kLongestWait <= aNow;
+  DeferredTask& held =
+    deferred_.try_emplace(aTaskId, DeferredTask{ aNow, aNow }).first->second;
+  held.requestedAt_ = aNow;
+  return held.since_ + kMaxDeferral <= aNow;
 }
 
 LearnedPlacement::LearnedPlacement(std::uint64_t aSeed)
@@ -195,14 +202,14 @@
 {
   std::optional<std::size_t> chosen =
     private_->engine_.Choose(aTask, aWorkers, aNow);
-  // Where a task is expected to need more than any worker has, or a small cell
-  // keeps all its workers open, the engine would refuse it for ever: the job
-  // was accepted by its declared size and would just never start.
-  if (!chosen.has_value() && private_->HeldTooLong(aTask.taskId_, aNow)) {
+  // If the expected usage of a task exceeds the capacity of every worker, or
+  // all workers of a small cell are kept open, the engine never places the
+  // task. The job was accepted by its declared size and would never start.
+  if (!chosen.has_value() && private_->IsDeferralOver(aTask.taskId_, aNow)) {
     chosen = private_->firstFit_.Choose(aTask, aWorkers, aNow);
   }
   if (chosen.has_value()) {
-    private_->held_.erase(aTask.taskId_);
+    private_->deferred_.erase(aTask.taskId_);
   }
   return chosen;
 }
@@ -210,7 +217,8 @@
 void
 LearnedPlacement::OnUsage(const WorkerUsage& aUsage, Instant aNow)
 {
-  // A worker that measures nothing says nothing about its tasks.
+  // A worker that does not measure usage reports zero, which is not evidence
+  // about its tasks.
   const bool measured =
     aUsage.used_.milliCpus_ > 0 || aUsage.used_.memoryMb_ > 0;
   if (private_->HasSettled(aUsage, aNow) && measured) {
--- a/Source/Version/ReturnPacing.h
+++ b/Source/Version/ReturnPacing.h
@@ -7,45 +7,50 @@
 namespace cactusrail {
 
 /**
- * Paces a process's writes to the table service after an outage. If every
- * process sent what it had held back at once, the service would go down again:
- * so each waits for a random part of a second, starts at a small rate, doubles
- * it while writes succeed and halves it when one fails. Pure; the caller brings
- * the random number.
+ * Limits the rate of a process's writes to the table service after an outage.
+ * If all processes sent their deferred writes at once, the service would be
+ * overloaded again. Each process waits for a random time up to maxWait_,
+ * starts at a low rate, doubles it while writes succeed and halves it when one
+ * fails. Does no I/O and reads no clock; the caller supplies random numbers.
  */
 class ReturnPacing
 {
 public:
   struct Rules
   {
-    double firstPerSecond_ = 2;
-    double mostPerSecond_ = 50;
-    Millis doubleEvery_{ 1000 };
-    Millis longestWait_{ 2000 };
+    double initialPerSecond_ = 2;
+    double maxPerSecond_ = 50;
+    Millis doublingInterval_{ 1000 };
+    Millis maxWait_{ 2000 };
   };
 
   explicit ReturnPacing(const Rules& aRules);
 
-  /** The service can't be reached: only probes are sent, one at a time. */
+  /** Starts rate limiting after the service became unreachable. Single writes
+   * then serve as probes. */
   void OnOutage(Instant aNow, std::uint64_t aRandom);
+  /** Doubles the rate at intervals of doublingInterval_; ends rate limiting
+   * above maxPerSecond_. */
   void OnSuccess(Instant aNow);
+  /** Halves the rate and adds a random wait; starts rate limiting if it is off.
+   */
   void OnFailure(Instant aNow, std::uint64_t aRandom);
 
-  /** Takes the right to send one write now, if there is one. */
+  /** Returns whether one write may be sent now, and counts it if so. */
   bool TryTake(Instant aNow);
-  /** When TryTake may succeed at the earliest. */
+  /** Returns the earliest time at which TryTake() can succeed. */
   Instant NextAt() const;
-  /** Whether writes are held back at all. */
-  bool IsPaced() const;
+  /** Returns whether rate limiting is on. */
+  bool IsLimited() const;
 
 private:
-  Instant After(Instant aNow, std::uint64_t aRandom) const;
+  Instant RandomDelayFrom(Instant aNow, std::uint64_t aRandom) const;
 
   Rules rules_;
-  bool paced_ = false;
+  bool limited_ = false;
   double perSecond_ = 0;
   Instant nextAt_;
-  Instant doubledAt_;
+  Instant rateChangedAt_;
 };
 
 }
--- a/Tests/Unit/DurationModelTest.cxx
+++ b/Tests/Unit/DurationModelTest.cxx
@@ -9,83 +9,87 @@
 
 namespace {
 
-/** Batch steps as measured on a fleet of eleven workers: they take 2.4 s and
- * differ by a factor of 1.6; callers' estimates of them are off by 2.5. */
-constexpr double kMiddleMs = 2400;
-constexpr double kSpread = 0.5;
-constexpr double kEstimateOff = 0.9;
+/** Batch steps as on a fleet of eleven workers: the typical duration is 2.4 s,
+ * varying by a factor of 1.6, and the callers' estimates are wrong by a factor
+ * of 2.5. */
+constexpr double kMedianDurationMs = 2400;
+constexpr double kDurationDeviation = 0.5;
+constexpr double kEstimateDeviation = 0.9;
 
 struct Step
 {
   std::int64_t estimateMs_ = 0;
-  double tookMs_ = 0;
+  double durationMs_ = 0;
 };
 
-class Caller
+class StepGenerator
 {
 public:
-  explicit Caller(double aEstimateOff)
-    : estimateOff_(aEstimateOff)
+  explicit StepGenerator(double aEstimateDeviation)
+    : estimateDeviation_(aEstimateDeviation)
   {
   }
 
   Step Next()
   {
-    const double took =
-      std::exp(std::log(kMiddleMs) + kSpread * normal_(generator_));
-    const double estimate = took * std::exp(estimateOff_ * normal_(generator_));
-    return { static_cast<std::int64_t>(estimate), took };
+    const double duration = std::exp(std::log(kMedianDurationMs) +
+                                     kDurationDeviation * normal_(generator_));
+    const double estimate =
+      duration * std::exp(estimateDeviation_ * normal_(generator_));
+    return { static_cast<std::int64_t>(estimate), duration };
   }
 
 private:
-  double estimateOff_;
+  double estimateDeviation_;
   std::mt19937 generator_{ 7 };
   std::normal_distribution<double> normal_;
 };
 
-/** Root of the mean square of the logarithm of expected over real. */
+/** Returns the root mean square of log(expected / actual duration). */
 double
-ErrorAfter(std::size_t aSteps, double aEstimateOff, bool aLearn)
+ErrorAfter(std::size_t aSteps, double aEstimateDeviation, bool aLearn)
 {
   DurationModel model;
-  Caller caller(aEstimateOff);
+  StepGenerator generator(aEstimateDeviation);
   for (std::size_t i = 0; i < aSteps; ++i) {
-    const Step step = caller.Next();
+    const Step step = generator.Next();
     if (aLearn) {
-      model.OnTook("batch", step.estimateMs_, step.tookMs_, 1);
+      model.OnTook("batch", step.estimateMs_, step.durationMs_, 1);
     }
   }
   double squares = 0;
-  constexpr int kJudged = 400;
-  for (int i = 0; i < kJudged; ++i) {
-    const Step step = caller.Next();
-    const double error =
-      std::log(model.ExpectedMillis("batch", step.estimateMs_) / step.tookMs_);
+  constexpr int kEvaluatedSteps = 400;
+  for (int i = 0; i < kEvaluatedSteps; ++i) {
+    const Step step = generator.Next();
+    const double error = std::log(
+      model.ExpectedMillis("batch", step.estimateMs_) / step.durationMs_);
     squares += error * error;
   }
-  return std::sqrt(squares / kJudged);
+  return std::sqrt(squares / kEvaluatedSteps);
 }
 
 }
 
-// A batch is ranked by the latest start with which it is still in time. By its
-// caller's word one of 2 s takes 27 s, so it is taken for the one with most
-// time left, and starts when it is late already.
-Test(DurationModel, LearnsHowLittleEstimatesSay)
+// Batch work is ordered by its latest start, and its objective grows with the
+// expected duration. An estimate that is far too high, such as 27 s for a step
+// of 2 s, makes the step appear to have the most time left, and it starts too
+// late.
+Test(DurationModel, CorrectsInaccurateEstimates)
 {
-  const double believed = ErrorAfter(30, kEstimateOff, false);
-  const double learned = ErrorAfter(30, kEstimateOff, true);
-  cr_assert_gt(believed, 0.8);
+  const double withoutLearning = ErrorAfter(30, kEstimateDeviation, false);
+  const double learned = ErrorAfter(30, kEstimateDeviation, true);
+  cr_assert_gt(withoutLearning, 0.8);
   cr_assert_lt(learned, 0.6);
 }
 
-// A queue whose callers know their work loses nothing: its estimates stand.
-Test(DurationModel, KeepsEstimatesThatAreRight)
+// Accurate estimates must not be degraded by the model.
+Test(DurationModel, KeepsAccurateEstimates)
 {
   cr_assert_lt(ErrorAfter(30, 0.1, true), 0.15);
 }
 
-// All of a queue's estimates are too low by three: learned from ten steps.
+// All estimates of a queue are too low by a factor of three. Ten steps must
+// suffice to correct them.
 Test(DurationModel, LearnsACommonFactor)
 {
   DurationModel model;
@@ -98,9 +102,9 @@
   cr_assert_lt(expected, 3300);
 }
 
-// Before anything is known, and for another queue, the caller's word counts;
-// one who gave none is told nothing.
-Test(DurationModel, BelievesWhatItKnowsNothingOf)
+// Without samples of its queue, an estimate is returned unchanged. Without an
+// estimate, the result is 0.
+Test(DurationModel, ReturnsEstimateWithoutSamples)
 {
   DurationModel model;
   model.OnTook("batch", 1000, 4000, 1);
--- a/Tests/Unit/LearnedPlacementTest.cxx
+++ b/Tests/Unit/LearnedPlacementTest.cxx
@@ -49,9 +49,9 @@
   return { aProgram + "-1/0", aProgram, Resources{ 1000, 10000, 0 } };
 }
 
-/** The workers once what was placed there before shows in their reports. */
+/** Returns the workers with reports that include all earlier placements. */
 std::vector<WorkerFacts>
-Later(std::vector<WorkerFacts> aWorkers, Instant aNow)
+WithReportsAt(std::vector<WorkerFacts> aWorkers, Instant aNow)
 {
   for (WorkerFacts& worker : aWorkers) {
     worker.reportedAt_ = aNow;
@@ -59,22 +59,25 @@
   return aWorkers;
 }
 
-/** First fit that keeps what it is told. */
+/** First-fit policy that records the reports it receives. */
 class Recorder : public FirstFitPlacement
 {
 public:
-  explicit Recorder(std::vector<WorkerUsage>& aHeard)
-    : heard_(aHeard)
+  explicit Recorder(std::vector<WorkerUsage>& aReceived)
+    : received_(aReceived)
   {
   }
 
-  void OnUsage(const WorkerUsage& aUsage, Instant) { heard_.push_back(aUsage); }
+  void OnUsage(const WorkerUsage& aUsage, Instant)
+  {
+    received_.push_back(aUsage);
+  }
 
 private:
-  std::vector<WorkerUsage>& heard_;
+  std::vector<WorkerUsage>& received_;
 };
 
-/** Half a minute of reports of one worker, two a second. */
+/** Sends reports of one worker for 30 s, two per second. */
 void
 Report(PlacementChooser& aChooser, const WorkerUsage& aUsage)
 {
@@ -93,41 +96,45 @@
 
 }
 
-// Tasks that take three times the memory they declare are killed on a worker
-// that has room on paper only.
-Test(LearnedPlacement, DeclaredTooSmallGoesWhereTheTrueUseFits)
+// Tasks that use three times their declared memory are killed on a worker where
+// only the declared size fits.
+Test(LearnedPlacement, UnderdeclaredTaskIsPlacedByActualUsage)
 {
   const auto chooser = MakeChooser(LearnedPlacement(kSeed));
   const std::vector<WorkerFacts> workers{ Worker("half full", 30000),
                                           Worker("empty", 0) };
   const TaskFacts task = Batch("glutton", 15000);
-  cr_assert_eq(*chooser->Choose(task, workers, At(0)), 0, "packs as declared");
+  cr_assert_eq(
+    *chooser->Choose(task, workers, At(0)), 0, "placed by declared size");
   Report(*chooser, { "other", { 1000, 30000, 0 }, { Running("glutton") } });
   const Instant later = At(31000);
-  cr_assert_eq(*chooser->Choose(task, Later(workers, later), later), 1);
+  cr_assert_eq(*chooser->Choose(task, WithReportsAt(workers, later), later), 1);
 }
 
-// Tasks that take a third of what they declare leave workers half empty.
-Test(LearnedPlacement, DeclaredTooLargeIsPackedByItsTrueUse)
+// Tasks that use a third of their declared memory would leave workers half
+// empty if placed by the declared size.
+Test(LearnedPlacement, OverdeclaredTaskIsPackedByActualUsage)
 {
   const auto chooser = MakeChooser(LearnedPlacement(kSeed));
   const std::vector<WorkerFacts> workers{ Worker("half full", 30000),
                                           Worker("empty", 0) };
   const TaskFacts task = Batch("modest", 28000);
-  cr_assert_eq(*chooser->Choose(task, workers, At(0)), 1, "unseen: cautious");
+  cr_assert_eq(*chooser->Choose(task, workers, At(0)),
+               1,
+               "no observations: conservative estimate");
   Report(*chooser, { "other", { 1000, 3300, 0 }, { Running("modest") } });
   const Instant later = At(31000);
-  cr_assert_eq(*chooser->Choose(task, Later(workers, later), later), 0);
+  cr_assert_eq(*chooser->Choose(task, WithReportsAt(workers, later), later), 0);
 }
 
-// However little a program was seen to take, it may take what it declared at
-// any time: beyond the declared size nothing is promised.
-Test(LearnedPlacement, NeverBeyondTheDeclaredSizeHoweverLongItWaits)
+// A program with low observed usage may use its full declared size at any time,
+// so a worker's declared sizes must never exceed its capacity.
+Test(LearnedPlacement, DeclaredSizeIsNeverExceededAfterDeferral)
 {
   LearnedPlacement placement(kSeed);
   Report(placement, { "other", { 100, 1000, 0 }, { Running("modest") } });
   std::vector<WorkerFacts> workers{ Worker("full", 50000),
-                                    Worker("set aside", 0) };
+                                    Worker("cordoned worker", 0) };
   workers[1].setAside_ = true;
   for (std::int64_t time = 31000; time < 120000; time += 1000) {
     cr_assert_not(
@@ -135,9 +142,10 @@
   }
 }
 
-// A job that fits a worker as declared was accepted, but is expected to take
-// more than any worker has: it never starts, and nobody says why.
-Test(LearnedPlacement, ATaskThatFitsAsDeclaredIsHeldBackForSomeSecondsOnly)
+// A job is accepted because its declared size fits a worker. If its expected
+// usage exceeds every worker, it would never start and no reason would be
+// shown.
+Test(LearnedPlacement, TaskThatFitsAsDeclaredIsDeferredForLimitedTime)
 {
   LearnedPlacement placement(kSeed);
   const std::vector<WorkerFacts> workers{ Worker("empty", 0) };
@@ -146,12 +154,12 @@
   cr_assert_not(placement.Choose(task, workers, At(9000)).has_value());
   cr_assert_eq(placement.Choose(task, workers, At(10000)).value_or(9), 0);
   cr_assert_not(placement.Choose(task, workers, At(11000)).has_value(),
-                "the next one waits anew");
+                "the next task is deferred again");
 }
 
-// A report that left before the tasks began shows almost no use: learned from
-// it, the program would be packed as if it took nothing.
-Test(LearnedPlacement, ReportsThatLagBehindAChangeTeachNothing)
+// A report sent before the tasks started shows almost no usage. If it were
+// used, the program would be placed as if it needed no resources.
+Test(LearnedPlacement, ReportsFromBeforeATaskChangeAreIgnored)
 {
   LearnedPlacement placement(kSeed);
   const Resources declared{ 1000, 10000, 0 };
@@ -163,18 +171,18 @@
   cr_assert_eq(placement.Expect("fresh", declared).confidence_, 0);
 }
 
-// A worker that does not measure states no use at all; its programs would be
-// learned to take nothing.
-Test(LearnedPlacement, AWorkerThatMeasuresNothingTeachesNothing)
+// A worker that does not measure usage reports zero. If that were used, its
+// programs would be placed as if they needed no resources.
+Test(LearnedPlacement, ReportsWithoutMeasurementAreIgnored)
 {
   LearnedPlacement placement(kSeed);
   Report(placement, { "w", {}, { Running("a") } });
   cr_assert_eq(placement.Expect("a", { 1000, 10000, 0 }).confidence_, 0);
 }
 
-// Worker reports give one sum for all tasks: a modest program that runs beside
-// a glutton must not be taken for one.
-Test(LearnedPlacement, ProgramsInMixedCompanyAreToldApart)
+// A worker reports the total usage of all its tasks. The usage of a large
+// program must not be attributed to a small one next to it.
+Test(LearnedPlacement, UsageIsAttributedToTheRightProgram)
 {
   LearnedPlacement placement(kSeed);
   const WorkerUsage alone{ "w1", { 1000, 10000, 0 }, { Running("modest") } };
@@ -192,16 +200,16 @@
   cr_assert_gt(glutton.memoryMb_, 25000, "glutton: %ld", glutton.memoryMb_);
 }
 
-// The scheduler's core hands on what a worker's report says of the tasks that
-// it counts there; a report that leaves tasks out would teach that the others
-// take what all take, or that all take nothing.
-Test(LearnedPlacement, TheCoreHandsOnWholeReportsOnly)
+// The scheduler core forwards only reports that cover every allocated task.
+// From an incomplete report the usage of the missing tasks would be attributed
+// to the others, or all tasks would appear to use nothing.
+Test(LearnedPlacement, CoreForwardsOnlyCompleteReports)
 {
-  std::vector<WorkerUsage> heard;
+  std::vector<WorkerUsage> received;
   WorkWorld::Options options;
   options.traced_ = false;
-  options.chooser_ = [&heard](std::uint64_t) {
-    return MakeChooser(Recorder(heard));
+  options.chooser_ = [&received](std::uint64_t) {
+    return MakeChooser(Recorder(received));
   };
   WorkWorld world(options);
   world.AddWorker("w1", "r1", { 8000, 1000, 0 });
@@ -216,39 +224,41 @@
   request.spec_.declared_ = { 1000, 100, 0 };
   world.Ask("e1", request);
   world.Run(10000000);
-  cr_assert_not(heard.empty());
-  const WorkerUsage last = heard.back();
+  cr_assert_not(received.empty());
+  const WorkerUsage last = received.back();
   cr_assert_eq(last.workerId_, "w1");
   cr_assert_eq(last.tasks_.size(), 3);
   cr_assert_eq(last.tasks_[0].program_, "program");
   cr_assert_eq(last.tasks_[0].declared_.milliCpus_, 1000);
   cr_assert_eq(last.used_.milliCpus_, 3000);
-  heard.clear();
+  received.clear();
   world.WorkerOf("w1").reportsLess_ = true;
   world.Run(10000000);
-  for (const WorkerUsage& usage : heard) {
+  for (const WorkerUsage& usage : received) {
     cr_assert_eq(usage.tasks_.size(), 3);
   }
   world.WorkerOf("w1").reportsLess_ = false;
   WorkerTasks& tasks = *world.WorkerOf("w1").tasks_;
   const std::int64_t clock = world.Now();
-  StartCommand stray;
+  StartCommand unknownTask;
   const WorkerReport before = tasks.Report(clock);
-  stray.origin_ = { "dc1/r1", before.cellEpoch_, before.incarnation_ };
-  stray.task_ = { "job.9", 1 };
-  stray.until_ = clock + 3600000000;
-  stray.resources_ = { 4000, 100, 0 };
-  cr_assert_eq(tasks.Handle(stray, clock).refused_, "");
-  heard.clear();
+  unknownTask.origin_ = { "dc1/r1", before.cellEpoch_, before.incarnation_ };
+  unknownTask.task_ = { "job.9", 1 };
+  unknownTask.until_ = clock + 3600000000;
+  unknownTask.resources_ = { 4000, 100, 0 };
+  cr_assert_eq(tasks.Handle(unknownTask, clock).refused_, "");
+  received.clear();
   world.Run(10000000);
-  for (const WorkerUsage& usage : heard) {
-    cr_assert_eq(usage.used_.milliCpus_, 3000, "a task that is not counted");
+  for (const WorkerUsage& usage : received) {
+    cr_assert_eq(usage.used_.milliCpus_,
+                 3000,
+                 "usage includes a task that is not allocated");
   }
 }
 
-// In a cell of two workers both are kept open for urgent work: batch work that
-// would close one would never start, though a worker stands empty.
-Test(LearnedPlacement, ASmallCellKeptOpenHoldsBatchBackForSomeSecondsOnly)
+// In a cell of two workers both are kept open for urgent work. Batch work that
+// leaves too little capacity for it would never start, even on an empty worker.
+Test(LearnedPlacement, BatchIsDeferredForLimitedTimeInASmallCell)
 {
   LearnedPlacement placement(kSeed);
   const std::vector<WorkerFacts> workers{ Worker("one", 0), Worker("two", 0) };
