--- a/Source/Request/Admission.h
+++ b/Source/Request/Admission.h
@@ -12,7 +12,7 @@
 
 namespace cactusrail {
 
-/** How urgent a request is; shed in the order of the last to the first. */
+/** Priority of a request. A full queue sheds Low first and High last. */
 enum class Urgency : std::uint8_t
 {
   High = 0,
@@ -23,10 +23,10 @@
 constexpr std::size_t kUrgencies = 3;
 
 /**
- * Bounds what waits for a service. A request that can't meet its deadline, or
- * for which there is no place, is refused at once with a time to come back; a
- * full queue sheds the least urgent work of the tenant farthest beyond its
- * share. Pure; one per service in each lane.
+ * Admission control with a bounded queue for one service. A request that can't
+ * meet its deadline, or that finds the queue full, is refused at once with a
+ * retry time. A full queue sheds the least urgent request of the tenant that
+ * exceeds its share the most. Performs no I/O; one per service in each lane.
  */
 class Admission
 {
@@ -34,13 +34,13 @@
   struct Rules
   {
     std::size_t maxWaiting_ = 256;
-    /** What a request is taken to need until answers were seen. */
+    /** Assumed service time until the first answers are measured. */
     Micros expectedService_{ 20000 };
   };
 
   using Tenant = std::uint32_t;
 
-  /** A place in the queue or in progress; never reused for another request. */
+  /** Handle of a waiting or running request; never reused for another one. */
   struct Ticket
   {
     std::uint32_t place_ = 0;
@@ -52,22 +52,22 @@
   struct Admitted
   {
     Ticket ticket_;
-    /** The request that was waiting and has to be refused instead. */
+    /** The waiting request that is shed and must be refused, if any. */
     std::optional<Ticket> shed_;
   };
 
   struct Refused
   {
-    /** A whole sentence for the caller. */
+    /** A complete sentence for the caller. */
     std::string reason_;
     Instant retryAt_;
   };
 
   explicit Admission(const Rules& aRules);
 
-  /** A tenant's number; its share is at least 1. */
+  /** Adds a tenant and returns its index; a share below 1 counts as 1. */
   Tenant AddTenant(std::uint32_t aShare);
-  /** Slots of the service that can be used just now. */
+  /** Sets the number of slots of the service that are usable now. */
   void SetSlots(std::uint32_t aSlots);
 
   std::variant<Admitted, Refused> Offer(Tenant aTenant,
@@ -76,20 +76,20 @@
                                         Instant aNow);
 
   /**
-   * The next request to send: the most urgent, then the tenant that holds the
-   * least beside its share. Those whose deadline passed while they waited are
-   * added to the list.
+   * Dequeues the next request to send: the highest urgency first, then the
+   * tenant with the lowest usage relative to its share. Requests whose deadline
+   * passed while they waited are appended to aExpired.
    */
   std::optional<Ticket> Next(Instant aNow, std::vector<Ticket>& aExpired);
 
-  /** A request that was sent ended. */
+  /** Releases the slot of a request that ended after aService. */
   void OnDone(Ticket aTicket, Micros aService);
-  /** Nobody waits for it any more; constant time, a spent ticket is ignored. */
+  /** Removes an abandoned request in constant time; ignores a stale ticket. */
   void Cancel(Ticket aTicket);
 
   std::size_t Waiting() const;
   std::size_t Running() const;
-  /** When a request that arrives now would be sent. */
+  /** Estimated time at which a request that arrives now is sent. */
   Instant ExpectedStart(Instant aNow) const;
 
 private:
--- a/Source/Request/AwakeClock.h
+++ b/Source/Request/AwakeClock.h
@@ -5,34 +5,36 @@
 namespace cactusrail {
 
 /**
- * The time for which a process was awake: the monotonic clock, less what the
- * process stood still. By it the silence of others is judged.
+ * Clock of the time for which the process was running: the monotonic clock less
+ * the time in which the process was stalled. Heartbeat timeouts use this clock.
  *
- * After a standstill of a process (a busy or suspended host) what others sent
- * meanwhile lies unread in its sockets, and all sides seem silent. By this
- * clock they are not, until they have been silent while the process could hear
- * them: a standstill counts as one long tick, however long it was.
+ * After a stall (a busy or suspended host), messages received meanwhile are
+ * still unread in the sockets, and all sides appear to send no heartbeat. On
+ * this clock a stall counts as one tick of kLongestTick, whatever its length,
+ * so a side times out only if its heartbeats are missing while the process is
+ * able to receive them.
  *
- * Pure: told of each tick of the loop. Owned by an EntryCore.
+ * Performs no I/O: OnTick reports each tick of the event loop. Owned by an
+ * EntryCore.
  */
 class AwakeClock
 {
 public:
-  /** The loop ticks every 10 to 100 ms; a longer pause is a standstill. */
+  /** The loop ticks every 10 to 100 ms; a gap above this limit is a stall. */
   static constexpr Millis kLongestTick{ 300 };
 
   void OnTick(Instant aNow);
 
-  /** The awake time at a time, which may lie before the newest tick. Never
-   * later than the time itself. */
+  /** Converts a monotonic time, which may precede the latest tick, to awake
+   * time. The result is never later than aTime. */
   Instant At(Instant aTime) const;
 
 private:
   Instant lastTick_;
-  /** The newest standstill: its last tick before, and its first one after. */
+  /** The latest stall: the last tick before it and the first tick after it. */
   Instant stoodStillAt_;
   Instant wokeAt_;
-  /** The time of all standstills that does not count. */
+  /** Total stalled time that this clock excludes. */
   Micros lost_{ 0 };
 };
 
--- a/Source/Request/ClaimBatcher.h
+++ b/Source/Request/ClaimBatcher.h
@@ -15,46 +15,46 @@
 namespace cactusrail {
 
 /**
- * Groups writes of claims into few transactions, because the table service
- * takes several hundred a second and a busy entry has more claims than that. A
- * write that finds nothing under way goes at once; those that come meanwhile
- * share the next transaction. Pure; each lane of an entry owns one, beside its
- * table client.
+ * Batches claim writes into few transactions, because the table service handles
+ * several hundred transactions a second and a busy entry has more claims than
+ * that. A write is sent at once if no transaction is in flight; writes that
+ * arrive meanwhile share the next transaction. Performs no I/O; each lane of an
+ * entry owns one, together with its table client.
  *
- * A transaction applies whole or not at all, so a claim that is refused takes
- * its group down: the refused are reported, the others go again without them.
+ * Transactions are atomic, so one refused claim fails its whole batch: the
+ * refused claims are reported, and the others are sent again without them.
  */
 class ClaimBatcher
 {
 public:
   struct Limits
   {
-    /** Rows in one transaction. */
+    /** Maximum number of rows in one transaction. */
     std::size_t maxRows_ = 64;
-    /** From one transaction's begin to the next one's, at the least. */
+    /** Minimum interval between the starts of two transactions. */
     Millis interval_{ 20 };
-    /** A transaction without an answer for so long holds up no others. */
+    /** Time without an answer after which the next transaction may start. */
     Millis patience_{ 50 };
   };
 
-  /** The rows of one transaction, no key twice. */
+  /** The rows of one transaction; each key occurs once. */
   struct Batch
   {
-    /** Comes back with the result. */
+    /** Identifies the batch in the call that reports its result. */
     std::uint64_t id_ = 0;
     std::vector<WriteClaim> writes_;
-    /** The latest of its writes' deadlines. */
+    /** The latest deadline of the writes. */
     Instant deadline_;
   };
 
-  /** How one write ended. */
+  /** A completed write and its result. */
   struct Ended
   {
     WriteClaim write_;
     ClaimWriteResult result_;
   };
 
-  /** A row whose condition failed, by its place in the batch. */
+  /** Index in the batch of a row whose condition failed, and its result. */
   using RefusedRow = std::pair<std::size_t, ClaimWriteResult>;
 
   explicit ClaimBatcher(const Limits& aLimits);
@@ -62,23 +62,27 @@
   void Add(WriteClaim aWrite);
 
   /**
-   * The next transaction, if one may begin now. Ask after every call until
-   * there is none: what has to be alone goes at once, beside the others.
+   * Returns the next transaction if one may start now. Call it after every
+   * other call until it returns none: writes marked alone_ start at once, in
+   * parallel with other transactions.
    */
   std::optional<Batch> Begin(Instant aNow);
 
-  /** It took effect; the rows' revisions in the batch's order. */
+  /** The transaction was applied; aRevisions holds the rows' revisions in batch
+   * order. */
   std::vector<Ended> OnApplied(std::uint64_t aBatchId,
                                std::span<const std::uint64_t> aRevisions);
 
-  /** It did not, because of these rows. The others wait for the next one. */
+  /** The conditions of aRows failed, so the transaction was not applied. The
+   * other rows wait for the next transaction. */
   std::vector<Ended> OnRefused(std::uint64_t aBatchId,
                                std::span<const RefusedRow> aRows);
 
-  /** It did not (NotWritten), or nobody knows (Unknown). */
+  /** The transaction was not applied (NotWritten), or its outcome is unknown
+   * (Unknown). */
   std::vector<Ended> OnFailed(std::uint64_t aBatchId, ClaimWrite aOutcome);
 
-  /** Writes whose deadline passed while they waited: they were never sent. */
+  /** Returns the writes whose deadline passed before they were sent. */
   std::vector<Ended> OnTick(Instant aNow);
 
   std::size_t Waiting() const;
@@ -88,7 +92,7 @@
 
   Limits limits_;
   std::deque<WriteClaim> waiting_;
-  /** Transactions without an answer, by their batches' ids. */
+  /** Writes of the transactions in flight, by batch id. */
   std::map<std::uint64_t, std::vector<WriteClaim>> underWay_;
   std::uint64_t nextBatchId_ = 1;
   std::uint64_t lastGroup_ = 0;
--- a/Source/Request/ClaimRecord.h
+++ b/Source/Request/ClaimRecord.h
@@ -10,30 +10,31 @@
 
 namespace cactusrail {
 
-/** Longer answers aren't kept for repeats of the key. */
+/** Maximum size of a response body that is stored for retries of a key. */
 constexpr std::size_t kMaxKeptBodyBytes = 16384;
 
 /**
- * The table's row about one idempotency key of one tenant: who may dispatch,
- * and how that ended. Only the request that it names changes an unfinished
- * record; anybody may replace one that is finished as DidNotRun.
+ * Table row of one idempotency key of one tenant: the request that may be
+ * dispatched, and its outcome. Only the request in requestId_ may change an
+ * unfinished record; any request may replace a record that is finished with
+ * DidNotRun.
  */
 struct ClaimRecord
 {
   std::string requestId_;
-  /** Of the request's service, method, target and body. */
+  /** Digest of the request's service, method, target and body. */
   std::string fingerprint_;
   bool finished_ = false;
   Verdict verdict_ = Verdict::MayHaveRun;
-  /** The upstream's status; 0 if it gave no answer. */
+  /** HTTP status of the upstream; 0 if it gave no answer. */
   std::uint16_t status_ = 0;
   std::string contentType_;
   /** Empty if the answer was longer than kMaxKeptBodyBytes. */
   std::string body_;
-  /** The whole answer's length. */
+  /** Length of the complete body in bytes. */
   std::uint64_t bodyBytes_ = 0;
 
-  /** Whether the answer is here whole and can be given to a repeat. */
+  /** Whether the complete answer is stored and can be replayed. */
   bool HasWholeAnswer() const
   {
     return finished_ && verdict_ == Verdict::Ran && status_ != 0 &&
@@ -58,55 +59,56 @@
   }
 };
 
-/** How a conditional write of a claim record ended. */
+/** Outcome of a conditional write of a claim record. */
 enum class ClaimWrite : std::uint8_t
 {
-  /** It took effect. */
+  /** The write was applied. */
   Applied,
-  /** The row was not at the expected revision; see the row. */
+  /** The row was not at the expected revision; the result holds the row. */
   Refused,
-  /** It certainly took no effect: the table service was not reached. */
+  /** The write had no effect: the table service was not reached. */
   NotWritten,
-  /** It may have taken effect, now or later. */
+  /** The write may have been applied or may still be applied. */
   Unknown,
 };
 
-/** What the table service said to a conditional write of a claim record. */
+/** Response of the table service to a conditional write of a claim record. */
 struct ClaimWriteResult
 {
   ClaimWrite outcome_ = ClaimWrite::Unknown;
-  /** Of the row as it is now; 0 if there is none. */
+  /** Current revision of the row; 0 if there is no row. */
   std::uint64_t revision_ = 0;
-  /** The row as it is, if the write was refused. */
+  /** The current row, if the write was refused. */
   ClaimRecord record_;
 };
 
-/** What a row means to a request that wants its key. */
+/** State of a claim row as seen by a request that uses its key. */
 enum class ClaimMeaning : std::uint8_t
 {
-  /** This request's own write, whose answer was lost. */
+  /** This request wrote the row, and the answer to the write was lost. */
   Ours,
-  /** Nobody runs it and nobody did: may be taken at the row's revision. */
+  /** No request ran or runs with the key: it may be claimed at the row's
+   * revision. */
   Free,
-  /** Another request with the same key is under way. */
+  /** Another request with the same key is in flight. */
   InProgress,
-  /** It ran, and the answer is there. */
+  /** The request ran, and its stored answer can be replayed. */
   Replay,
-  /** It ran, and its answer is not there to be repeated. */
+  /** The request ran, but its complete answer is not stored. */
   AnswerNotKept,
-  /** Another request with the same key ended in doubt. */
+  /** Another request with the same key ended with an unknown outcome. */
   InDoubt,
   /** The key was used for a different request. */
   OtherRequest,
 };
 
-/** Reads a row for the request of that id and fingerprint. */
+/** Classifies a row for the request with this id and fingerprint. */
 ClaimMeaning
 ReadClaim(const ClaimWriteResult& aRow,
           std::string_view aRequestId,
           std::string_view aFingerprint);
 
-/** A digest that differs if any part of the request does. */
+/** Digest of the request; requests that differ in any part differ in it. */
 std::string
 RequestFingerprint(std::string_view aService,
                    std::string_view aMethod,
--- a/Source/Request/ClaimTransaction.h
+++ b/Source/Request/ClaimTransaction.h
@@ -11,20 +11,22 @@
 namespace cactusrail {
 
 /**
- * One batch of claims as a transaction of the table service, and what the
- * answer to it says of each claim. Pure; lives as long as the call.
+ * Converts a batch of claims to a transaction of the table service, and the
+ * answer to a result for each claim. Performs no I/O; lives as long as the
+ * call.
  */
 class ClaimTransaction
 {
 public:
   explicit ClaimTransaction(const ClaimBatcher::Batch& aBatch);
 
-  /** To be sent; may be taken once. */
+  /** Moves out the transaction to send; may be called once. */
   TableTransaction Transaction();
 
   /**
-   * Tells the batcher how it ended. The rows are told apart by their keys: a
-   * claim must not be given another's revision, or another's answer.
+   * Passes the result to the batcher and returns the completed writes. Rows are
+   * matched by key, so that no claim gets the revision or the answer of another
+   * claim.
    */
   std::vector<ClaimBatcher::Ended> Read(const Result<TableOutcome>& aResult,
                                         ClaimBatcher& aBatcher) const;
--- a/Source/Request/ExplainVerdict.h
+++ b/Source/Request/ExplainVerdict.h
@@ -7,18 +7,18 @@
 
 namespace cactusrail {
 
-/** What the steps say of a request, and from which of them it follows. */
+/** Verdict of a request, and the reason derived from its steps. */
 struct Explanation
 {
   Verdict verdict_ = Verdict::MayHaveRun;
-  /** A whole sentence. */
+  /** A complete sentence. */
   std::string reason_;
 };
 
 /**
- * The verdict of one request from the steps that its processes still know, in
- * any order, some perhaps missing. Never a guess: what the steps don't settle
- * may have run.
+ * Derives the verdict of one request from the steps that the processes still
+ * store, in any order and possibly incomplete. Returns MayHaveRun if the steps
+ * don't determine the verdict.
  */
 Explanation
 ExplainVerdict(std::span<const RequestStep> aSteps);
--- a/Source/Request/Failure.h
+++ b/Source/Request/Failure.h
@@ -10,7 +10,7 @@
 
 namespace cactusrail {
 
-/** What kind of thing went wrong, for exit codes, HTTP statuses and counts. */
+/** Category of an error, for exit codes, HTTP statuses and counters. */
 enum class FailureKind : std::uint8_t
 {
   BadInput = 0,
@@ -22,17 +22,17 @@
   Broken = 6,
 };
 
-/** An error: a whole sentence, and whether the work may have run. */
+/** An error: a complete sentence, and whether the work may have run. */
 struct Failure
 {
   FailureKind kind_ = FailureKind::Broken;
   Verdict verdict_ = Verdict::MayHaveRun;
   std::string message_;
-  /** How long the caller should wait before it asks again; zero if never. */
+  /** Delay before the caller should retry; zero if a retry is useless. */
   std::chrono::milliseconds retryAfter_{ 0 };
 };
 
-/** A value or the reason why there is none. */
+/** A value, or the error that prevented it. */
 template<typename Value>
 using Result = std::variant<Value, Failure>;
 
@@ -43,7 +43,7 @@
   return std::holds_alternative<Value>(aResult);
 }
 
-/** A failure before anything was sent: the work did not run. */
+/** Returns a failure that occurred before anything was sent. */
 inline Failure
 NotRun(FailureKind aKind, std::string aMessage)
 {
--- a/Source/Request/OutcomeWriter.h
+++ b/Source/Request/OutcomeWriter.h
@@ -13,59 +13,64 @@
 
 namespace cactusrail {
 
-/** Tell the I/O layer: write a claim record if its row is as expected. */
+/** Action: write a claim record if its row has the expected revision. */
 struct WriteClaim
 {
   std::string requestId_;
-  /** Comes back with the result. */
+  /** Identifies the write in the call that reports its result. */
   std::uint64_t writeId_ = 0;
   std::string tenant_;
   std::string key_;
-  /** 0: there must be no row. */
+  /** 0 if the row must not exist. */
   std::uint64_t expectedRevision_ = 0;
   ClaimRecord record_;
   Instant deadline_;
-  /** An earlier try failed: not to be written together with others. */
+  /** An earlier attempt failed, so the write gets its own transaction. */
   bool alone_ = false;
 };
 
 /**
- * Writes down how claimed requests ended, again and again until the table
- * service has it: an outcome that is lost would block its key for good. An
- * outcome in doubt may be amended for a while. Pure; owned by an EntryCore.
+ * Stores the outcomes of claimed requests and retries each write until the
+ * table service has it, because a lost outcome blocks its key permanently. An
+ * unknown outcome can be amended until life_ ends. Performs no I/O; owned by an
+ * EntryCore.
  */
 class OutcomeWriter
 {
 public:
   struct Limits
   {
-    /** Outcomes kept; beyond it the oldest is let go, its key stays taken. */
+    /** Maximum number of outcomes. Above it the oldest is dropped, and its key
+     * stays claimed. */
     std::size_t maxOutcomes_ = 4096;
-    /** Between tries. */
+    /** Delay between two attempts to write an outcome. */
     Millis pause_{ 500 };
     Millis writeTimeout_{ 1000 };
-    /** How long it is tried, and how long a doubt may be amended. */
+    /** Time for which writes are retried and unknown outcomes can be amended.
+     */
     Millis life_{ 120000 };
   };
 
-  /** The claim of a request that ended. */
+  /** The claim of a completed request. */
   struct Claim
   {
     std::string tenant_;
     std::string key_;
-    /** Of the claim's row; what it was before if our write is in doubt. */
+    /** Revision of the claim's row; the revision before the entry's write if
+     * the outcome of that write is unknown. */
     std::uint64_t revision_ = 0;
   };
 
   OutcomeWriter(const Limits& aLimits, std::uint64_t& aNextWriteId);
 
-  /** A claimed request ended so; returns the first try. */
+  /** Adds the outcome of a claimed request and returns its first write. */
   WriteClaim Add(const Claim& aClaim, const ClaimRecord& aRecord, Instant aNow);
 
-  /** More became known of an outcome in doubt. */
+  /** Replaces an unknown outcome once more is known. */
   std::optional<WriteClaim> Amend(const ClaimRecord& aRecord, Instant aNow);
 
-  /** A try ended; returns the next one if it must follow at once. */
+  /** Handles the result of a write; returns the next write if it must follow at
+   * once. */
   std::optional<WriteClaim> OnWritten(const std::string& aRequestId,
                                       std::uint64_t aWriteId,
                                       const ClaimWriteResult& aResult,
@@ -73,7 +78,7 @@
 
   std::vector<WriteClaim> OnTick(Instant aNow);
 
-  /** Outcomes that the table service does not have yet. */
+  /** Number of outcomes that are not stored in the table service yet. */
   std::size_t Unwritten() const;
 
 private:
@@ -81,7 +86,7 @@
   {
     Claim claim_;
     ClaimRecord record_;
-    /** What the try under way wrote. */
+    /** Record of the write in flight. */
     ClaimRecord inFlight_;
     std::uint64_t writeId_ = 0;
     bool written_ = false;
--- a/Source/Request/OutlierTracker.h
+++ b/Source/Request/OutlierTracker.h
@@ -9,9 +9,10 @@
 namespace cactusrail {
 
 /**
- * Sets runners aside that fail or answer far slower than their peers, and lets
- * them back by single probes. Pure; owned by a Router. Never sets aside more
- * than a fixed part of the fleet: if all are slow, none is an outlier.
+ * Outlier detection: ejects runners that fail or answer far slower than their
+ * peers, and readmits them after a successful single probe. Never ejects more
+ * than a fixed fraction of the fleet: if all runners are slow, none is an
+ * outlier. Performs no I/O; owned by a Router.
  */
 class OutlierTracker
 {
@@ -19,7 +20,7 @@
   struct Rules
   {
     std::uint32_t failuresInARow_ = 5;
-    /** An outlier's mean latency is this many times the fleet's. */
+    /** Ratio of an outlier's mean latency to the fleet's mean latency. */
     double latencyRatio_ = 2.5;
     std::uint32_t minSamples_ = 20;
     double maxSetAsidePart_ = 0.3;
@@ -29,18 +30,18 @@
 
   explicit OutlierTracker(const Rules& aRules);
 
-  /** A new runner with this number; nothing known of it. */
+  /** Starts tracking a new runner with this index, without history. */
   void Reset(std::size_t aRunner);
   void Forget(std::size_t aRunner);
   void OnAnswer(std::size_t aRunner, Micros aLatency, Instant aNow);
   void OnFailure(std::size_t aRunner, Instant aNow);
-  /** A request goes there: if the runner is on trial, that is its probe. */
+  /** A request is sent; if the runner is ejected, the request is its probe. */
   void OnSent(std::size_t aRunner, Instant aNow);
 
-  /** Whether the runner may get a request now, a probe included. */
+  /** Whether the runner may get a request now, including a probe. */
   bool MayUse(std::size_t aRunner, Instant aNow) const;
 
-  /** Set aside, or on trial and not yet back. */
+  /** Whether the runner is ejected, including while it is probed. */
   bool IsSetAside(std::size_t aRunner) const;
 
 private:
@@ -53,7 +54,7 @@
     std::uint32_t samples_ = 0;
     double meanMicros_ = 0;
     Millis pause_{ 0 };
-    /** No probe before this. */
+    /** Earliest time of the next probe. */
     Instant probeAt_;
   };
 
@@ -63,7 +64,7 @@
   std::vector<Entry> entries_;
   std::size_t known_ = 0;
   std::size_t setAside_ = 0;
-  /** Moving mean over the answers of runners that are not set aside. */
+  /** Moving average of the latency of runners that are not ejected. */
   double fleetMicros_ = 0;
 };
 
--- a/Source/Request/RequestStep.h
+++ b/Source/Request/RequestStep.h
@@ -10,29 +10,29 @@
 
 namespace cactusrail {
 
-/** Steps that ExplainVerdict looks for. */
+/** Names of the steps that ExplainVerdict evaluates. */
 constexpr std::string_view kStepDispatched = "dispatched";
 constexpr std::string_view kStepGivenUp = "given up";
 
 /**
- * One step in the life of a request or a task, as a process saw it. Explain
- * puts the steps of all processes in order.
+ * One step in the processing of a request or a task, as recorded by a process.
+ * The explain command merges the steps of all processes.
  */
 struct RequestStep
 {
   std::string requestId_;
-  /** Wall clock, microseconds since 1970; set by the I/O layer. */
+  /** Wall-clock time in microseconds since 1970; set by the I/O layer. */
   std::int64_t wallMicros_ = 0;
-  /** The process that saw it: "entry/NAME" or "side/NAME". */
+  /** The process that recorded the step: "entry/NAME" or "side/NAME". */
   std::string host_;
-  /** A word or two: received, claimed, dispatched, started, answered. */
+  /** Name of the step: received, claimed, dispatched, started, answered. */
   std::string step_;
-  /** What this step alone says of the request; MayHaveRun if nothing. */
+  /** Verdict that follows from this step alone; MayHaveRun if none does. */
   Verdict verdict_ = Verdict::MayHaveRun;
-  /** The step decides the verdict, whatever came before it. */
+  /** Whether the step determines the verdict regardless of earlier steps. */
   bool conclusive_ = false;
   std::string detail_;
-  /** The attempt that the step is about; empty if about the whole request. */
+  /** Attempt of the step; empty if the step concerns the whole request. */
   std::string attemptId_;
 
   template<class Archive>
@@ -51,7 +51,7 @@
   }
 };
 
-/** A step as a core sees it; host and wall clock are the I/O layer's. */
+/** Creates a step; the I/O layer sets the host and the wall-clock time. */
 RequestStep
 MakeStep(std::string aRequestId,
          std::string aStep,
--- a/Source/Request/RetryBudget.h
+++ b/Source/Request/RetryBudget.h
@@ -7,18 +7,19 @@
 namespace cactusrail {
 
 /**
- * Bounds retries to a part of the requests, so that an outage is not amplified:
- * when all fails, retries add a tenth to the load and not twice the load. Pure;
- * one per service in each lane.
+ * Limits retries to a fraction of the requests, so that an outage is not
+ * amplified: if all requests fail, retries add a tenth to the load instead of
+ * twice the load. Performs no I/O; one per service in each lane.
  */
 class RetryBudget
 {
 public:
   struct Rules
   {
-    /** Retries that each request pays for. */
+    /** Retries added to the budget by each request. */
     double perRequest_ = 0.1;
-    /** Retries that are free in a second, so that a quiet service can retry. */
+    /** Retries added per second, so that a service with few requests can retry.
+     */
     double perSecond_ = 2;
     double most_ = 20;
   };
@@ -26,9 +27,9 @@
   explicit RetryBudget(const Rules& aRules);
 
   void OnRequest(Instant aNow);
-  /** Takes one retry if the budget has it. */
+  /** Consumes one retry; returns false if the budget has none. */
   bool TryTake(Instant aNow);
-  /** When the next retry will be there at the latest. */
+  /** Latest time at which the next retry becomes available. */
   Instant NextAt(Instant aNow) const;
 
 private:
--- a/Source/Request/Routing.h
+++ b/Source/Request/Routing.h
@@ -10,38 +10,39 @@
 
 namespace cactusrail {
 
-/** What a runner's heartbeat says about its slots. */
+/** Slot usage of a runner, as reported by its heartbeat. */
 struct RunnerReport
 {
   std::uint32_t slots_ = 0;
   std::uint32_t busy_ = 0;
   std::uint32_t queued_ = 0;
-  /** When it was measured, as near as the receiver can tell. */
+  /** Time of the measurement, as estimated by the receiver. */
   Instant measuredAt_;
 };
 
 /**
- * Chooses the runner for an urgent request. Pure: the caller brings the time
- * and a random number. One router serves one service in one lane of an entry;
- * it knows its own sends exactly and those of others only by late reports.
+ * Chooses the runner for an urgent request. Performs no I/O: the caller passes
+ * the time and a random number. One router serves one service in one lane of an
+ * entry; it counts its own attempts exactly and gets the load of others only
+ * from delayed reports.
  *
- * A choice compares a few runners drawn by the random number. Comparing all
- * would send every entry to the same runner until the next report.
+ * Each choice compares a few randomly sampled runners. Comparing all of them
+ * would make every entry choose the same runner until the next report.
  */
 class Router
 {
 public:
   struct Rules
   {
-    /** Runners compared in one choice. */
+    /** Number of runners that are sampled and compared in one choice. */
     std::size_t drawn_ = 4;
-    /** Cost of another data centre, there and back. */
+    /** Round-trip cost of a runner in another data centre. */
     Micros crossing_{ 2000 };
-    /** What the fleet's mean latency is taken to be before any answer. */
+    /** Assumed mean latency of the fleet before the first answer. */
     Micros expectedLatency_{ 20000 };
   };
 
-  /** A runner's number, given by Add and valid until Remove. */
+  /** Index of a runner, returned by Add and valid until Remove. */
   using Runner = std::uint32_t;
 
   explicit Router(const Rules& aRules);
@@ -55,22 +56,22 @@
   void OnReport(Runner aRunner, const RunnerReport& aReport, Instant aNow);
 
   /**
-   * None if every runner is excluded or set aside. With a random number of 0
-   * ties go to the lowest runner, for sessions that are replayed.
+   * Returns no runner if every runner is excluded or ejected. With a random
+   * number of 0 ties go to the lowest index, for replayed sessions.
    */
   std::optional<Runner> Choose(std::span<const Runner> aExcluded,
                                std::uint64_t aRandom,
                                Instant aNow) const;
 
-  /** An attempt goes there; each is ended by exactly one of the three below. */
+  /** An attempt is sent; exactly one of the three calls below must end it. */
   void OnSent(Runner aRunner, Instant aNow);
   void OnAnswer(Runner aRunner, Micros aLatency, Instant aNow);
   /** The attempt failed or the runner refused it. */
   void OnFailure(Runner aRunner, Instant aNow);
-  /** Nobody waits for the attempt any more; says nothing of the runner. */
+  /** The attempt was cancelled; the statistics of the runner don't change. */
   void OnCancelled(Runner aRunner, Instant aNow);
 
-  /** Slots thought to be taken there now, for tests and the operators' view. */
+  /** Estimated number of slots in use, for tests and the operators' view. */
   double EstimatedLoad(Runner aRunner, Instant aNow) const;
 
 private:
--- a/Source/Request/ServiceSides.h
+++ b/Source/Request/ServiceSides.h
@@ -15,17 +15,17 @@
 namespace cactusrail {
 
 /**
- * The sides of one service that an entry may send to, and its budget for
- * retries there. Joins what heartbeats say with the Router's choice. Pure;
+ * The sides of one service to which an entry may send, and the retry budget of
+ * the service. Combines heartbeats with the Router's choice. Performs no I/O;
  * owned by an EntryCore.
  */
 class ServiceSides
 {
 public:
-  /** Sides, each with the incarnation of its upstream. */
+  /** Sides that were tried, each with the incarnation of its upstream. */
   using Tried = std::set<std::pair<std::string, std::uint64_t>>;
 
-  /** Where an attempt goes. */
+  /** Destination of an attempt. */
   struct Choice
   {
     std::string sideId_;
@@ -35,25 +35,26 @@
 
   explicit ServiceSides(std::string aDataCentre);
 
-  /** A heartbeat that is the side's newest; usable if it is ready, until then
-   * by the entry's awake time. */
+  /** Applies the side's latest heartbeat. A ready side stays usable until
+   * aUsableUntil, in the entry's awake time. */
   void Observe(const HeartbeatMessage& aHeartbeat,
                Instant aUsableUntil,
                Instant aNow);
 
-  /** The side serves another service now, or was forgotten. */
+  /** Removes a side that serves another service now or has expired. */
   void Remove(const std::string& aSideId);
 
   bool AnyUsable(Instant aAwake) const;
 
-  /** A usable side beside those tried. The entry's awake time says who is
-   * silent, the other one what the router has learned of late. */
+  /** Chooses a usable side that is not in aTried. aAwake is the entry's awake
+   * time, for heartbeat timeouts; aNow is the time for the router's estimates.
+   */
   std::optional<Choice> Choose(const Tried& aTried,
                                std::uint64_t aRandom,
                                Instant aAwake,
                                Instant aNow) const;
 
-  /** Each attempt that is sent ends by one of the three that follow. */
+  /** An attempt is sent; exactly one of the three calls below must end it. */
   void OnSent(const Choice& aChoice, Instant aNow);
   void OnAnswer(const Choice& aChoice, Micros aLatency, Instant aNow);
   void OnFailure(const Choice& aChoice, Instant aNow);
--- a/Source/Request/Verdict.h
+++ b/Source/Request/Verdict.h
@@ -6,8 +6,8 @@
 namespace cactusrail {
 
 /**
- * Whether a request or a task may have run. Every hop passes it on; a hop that
- * is in doubt says MayHaveRun, never DidNotRun.
+ * Whether a request or a task ran. Every hop passes the verdict on; a hop that
+ * can't determine it reports MayHaveRun, never DidNotRun.
  */
 enum class Verdict : std::uint8_t
 {
@@ -16,13 +16,14 @@
   MayHaveRun = 2,
 };
 
-/** The words that callers and operators read: "did not run" and so on. */
+/** Text of a verdict for callers and operators, such as "did not run". */
 std::string_view
 VerdictText(Verdict aVerdict);
 
 /**
- * The verdict of a request after two attempts at it. Ran wins over doubt, and
- * doubt wins over DidNotRun: only if no attempt can have run, none did.
+ * Combines the verdicts of two attempts at a request. Ran takes precedence over
+ * MayHaveRun, and MayHaveRun over DidNotRun: the request did not run only if
+ * neither attempt ran.
  */
 Verdict
 CombineVerdicts(Verdict aFirst, Verdict aSecond);
