--- a/Source/Request/Admission.cxx
+++ b/Source/Request/Admission.cxx
@@ -142,8 +142,8 @@
 {
   Entry& entry = entries_[aPlace];
   entry.state_ = State::Free;
-  // A late cancel or answer for the old request must not hit the next one that
-  // gets this place.
+  // The generation keeps a late cancel or answer for the old request from
+  // affecting the next request that reuses this index.
   ++entry.generation_;
   free_.push_back(aPlace);
 }
@@ -157,8 +157,9 @@
   const auto own = static_cast<std::size_t>(aUrgency);
   for (std::size_t level = kUrgencies; level-- > own;) {
     std::optional<std::uint32_t> victim;
-    // Work of the same urgency gives way only to a tenant that stays below the
-    // victim's with one more; else two tenants would shed each other in turn.
+    // Requests of the same urgency are shed only for a tenant that stays below
+    // the victim's usage with one more request; otherwise two tenants would
+    // shed each other's requests in turn.
     double most = level == own ? excess(tenants_[aTenant], 1) : -1;
     for (const TenantState& tenant : tenants_) {
       const std::uint32_t last = tenant.queues_[level].tail_;
--- a/Source/Request/ClaimBatcher.cxx
+++ b/Source/Request/ClaimBatcher.cxx
@@ -21,8 +21,9 @@
 std::optional<ClaimBatcher::Batch>
 ClaimBatcher::Begin(Instant aNow)
 {
-  // A row that the table service can't take fails the transaction that it is
-  // in, each time, and all that share it would end in doubt with it.
+  // A row that the table service can't store fails its transaction on each
+  // attempt, and all other claims in the transaction would get an unknown
+  // outcome.
   const auto alone =
     std::find_if(waiting_.begin(),
                  waiting_.end(),
@@ -33,9 +34,9 @@
     underWay_.emplace(batch.id_, batch.writes_);
     return batch;
   }
-  // One lost answer would hold up every claim of the lane until it is given
-  // up, and they would be refused for want of time. Beside it they are as true
-  // as without grouping: each row's condition guards it.
+  // A lost answer would block every claim of the lane until the call times out,
+  // and the claims would exceed their deadlines. Parallel transactions are safe
+  // because each row's condition guards it.
   const bool held =
     underWay_.contains(lastGroup_) && aNow < lastBegin_ + limits_.patience_;
   if (held || waiting_.empty() || aNow < nextBegin_) {
@@ -46,8 +47,9 @@
   std::set<std::pair<std::string, std::string>> keys;
   std::deque<WriteClaim> later;
   for (WriteClaim& write : waiting_) {
-    // Two writes of one key in a transaction: the second's condition would be
-    // read before the first's write, and both would think that they hold it.
+    // Two writes of one key can't share a transaction: the condition of the
+    // second would be checked before the first is written, and both requests
+    // would own the key.
     const bool fits = batch.writes_.size() < limits_.maxRows_ &&
                       keys.emplace(write.tenant_, write.key_).second;
     if (!fits) {
@@ -80,7 +82,7 @@
   std::vector<Ended> ended;
   for (std::size_t place = 0; place < batch.size(); ++place) {
     ClaimWriteResult result;
-    // An answer that is short of revisions is not trusted with the rest.
+    // Rows without a revision in the answer have an unknown outcome.
     if (place < aRevisions.size()) {
       result.outcome_ = ClaimWrite::Applied;
       result.revision_ = aRevisions[place];
@@ -94,7 +96,7 @@
 ClaimBatcher::OnRefused(std::uint64_t aBatchId,
                         std::span<const RefusedRow> aRows)
 {
-  // A refusal that names no row would be sent again and again.
+  // Without a refused row the batch would be resent forever.
   if (aRows.empty()) {
     return OnFailed(aBatchId, ClaimWrite::NotWritten);
   }
--- a/Source/Request/ClaimRecord.cxx
+++ b/Source/Request/ClaimRecord.cxx
@@ -15,8 +15,9 @@
   if (aRow.revision_ == 0) {
     return ClaimMeaning::Free;
   }
-  // The answer to our write was lost after it took effect. Taken for another's
-  // claim, the key would be blocked by a request that never ran.
+  // The answer to this request's write was lost after it was applied. If the
+  // row were treated as another request's claim, a request that never ran would
+  // block the key.
   if (record.requestId_ == aRequestId && !record.finished_) {
     return ClaimMeaning::Ours;
   }
@@ -47,7 +48,7 @@
     aService, aMethod, aTarget, aBody
   };
   for (const std::string_view part : parts) {
-    // With its length before it, no part can pass for the end of another.
+    // The length prefix keeps the boundaries between the parts unambiguous.
     hash.addData(QByteArray::number(static_cast<qulonglong>(part.size())));
     hash.addData(QByteArrayView(":"));
     hash.addData(
--- a/Source/Request/ClaimTransaction.cxx
+++ b/Source/Request/ClaimTransaction.cxx
@@ -38,7 +38,7 @@
   return result;
 }
 
-/** The rows that a transaction of these keys was refused for. */
+/** Returns the rows whose conditions failed in a transaction of these keys. */
 std::vector<ClaimBatcher::RefusedRow>
 RefusedRows(const std::vector<std::string>& aKeys, const TableOutcome& aOutcome)
 {
@@ -53,7 +53,7 @@
   return refused;
 }
 
-/** The written rows' revisions, up to the first that the answer lacks. */
+/** Returns the revisions of the written rows, up to the first missing one. */
 std::vector<std::uint64_t>
 Revisions(const std::vector<std::string>& aKeys, const TableOutcome& aOutcome)
 {
--- a/Source/Request/EntryCore.cxx
+++ b/Source/Request/EntryCore.cxx
@@ -17,12 +17,12 @@
 constexpr Millis kForgetPause{ 1000 };
 constexpr Millis kSilenceCheckPause{ 100 };
 
-/** What the end of an attempt says of its side. */
+/** Effect of the end of an attempt on the statistics of its side. */
 enum class AttemptEnd : std::uint8_t
 {
   Answered,
   Failed,
-  /** Given up: says nothing of the side. */
+  /** The attempt was abandoned; the statistics of the side don't change. */
   Cancelled,
 };
 
@@ -37,25 +37,26 @@
   RequestFacts facts_;
   RequestState state_ = RequestState::WaitsForClaim;
   std::string fingerprint_;
-  /** The write under way; 0 if none. */
+  /** The claim write in flight; 0 if none. */
   std::uint64_t claimWrite_ = 0;
   std::size_t claimWrites_ = 0;
-  /** Of the claim's row, once it is ours; before, what we expect it to be. */
+  /** Revision of the claim's row once the request owns it; before that, the
+   * expected revision. */
   std::uint64_t claimRevision_ = 0;
   std::size_t attempts_ = 0;
   std::string attemptId_;
   std::string sideId_;
   ServiceSides::Choice choice_;
   Instant dispatchedAt_;
-  /** A caller that is told to come back should do so after this. */
+  /** Retry delay that is sent to the caller. */
   Instant comeBackAt_;
-  /** Sides that were sent an attempt. */
+  /** Sides to which an attempt was sent. */
   ServiceSides::Tried tried_;
-  /** What the attempts that ended say together. */
+  /** Combined verdict of the attempts that ended. */
   Verdict verdict_ = Verdict::DidNotRun;
 };
 
-/** A claimed request that was given up while an attempt was in doubt. */
+/** A claimed request that was abandoned with an unknown attempt outcome. */
 struct GivenUp
 {
   std::string attemptId_;
@@ -150,11 +151,11 @@
   void Forget(const std::string& aRequestId, Instant aNow);
 
   Limits limits_;
-  /** Sides' silence is counted in this entry's awake time. */
+  /** Awake time of this entry, for heartbeat timeouts. */
   AwakeClock awakeClock_;
   MembershipView membership_;
   std::unordered_map<std::string, ServiceSides> services_;
-  /** The service that a side served when it was last heard. */
+  /** Service of each side, from its latest heartbeat. */
   std::unordered_map<std::string, std::string> serviceOf_;
   std::uint64_t draws_ = 0;
   Instant nextForgetting_;
@@ -162,9 +163,9 @@
   std::uint64_t nextWriteId_ = 0;
   OutcomeWriter outcomes_;
   std::unordered_map<std::string, Request> requests_;
-  /** Requests by deadline, so that a tick costs only what expired. */
+  /** Requests by deadline, so that a tick visits only expired requests. */
   std::set<std::pair<Instant, std::string>> deadlines_;
-  /** Requests with an attempt in progress, by side. */
+  /** Requests with an attempt in flight, by side. */
   std::unordered_map<std::string, std::set<std::string>> sent_;
   std::unordered_map<std::string, GivenUp> givenUp_;
   std::deque<std::pair<Instant, std::string>> givenUpOrder_;
@@ -243,7 +244,7 @@
                                  ClaimWrite aOutcome,
                                  Instant aNow)
 {
-  // The same write once more: if the first took effect, the row shows it.
+  // Repeats the write: if the first one was applied, the row shows it.
   const bool again = aOutcome == ClaimWrite::Unknown &&
                      aRequest.claimWrites_ < limits_.maxClaimWrites_ / 2 &&
                      aRequest.facts_.deadline_ > aNow;
@@ -388,7 +389,8 @@
 EntryCore::Private::Dispatch(Actions& aActions, Request& aRequest, Instant aNow)
 {
   const std::string requestId = aRequest.facts_.requestId_;
-  // A frozen entry thaws with the table's answer in hand and its caller gone.
+  // After a stall of the entry, the table's answer can arrive when the caller's
+  // deadline has passed.
   if (aRequest.facts_.deadline_ <= aNow) {
     GiveUp(aActions, requestId, 504, "The deadline passed.", aNow);
     return;
@@ -484,8 +486,9 @@
     aActions.emplace_back(
       SendCancel{ request.sideId_, CancelMessage{ request.attemptId_ } });
   }
-  // Also if the claim's own answer is still out: should that write take effect
-  // later, the key would stay taken by a request that was told "did not run".
+  // Also needed while the claim write is in flight: if that write is applied
+  // later, the key would stay claimed by a request that was answered with
+  // "did not run".
   if (request.claimWrites_ > 0) {
     ClaimRecord record;
     record.requestId_ = aRequestId;
@@ -581,8 +584,8 @@
     return;
   }
   nextSilenceCheck_ = aNow + kSilenceCheckPause;
-  // A frozen side's connection stands for minutes. Its attempts would wait for
-  // their deadlines although another side has room.
+  // The connection of a frozen side stays open for minutes. Its attempts would
+  // wait until their deadlines although another side has free capacity.
   std::set<std::string> waiting;
   for (const auto& [sideId, ids] : sent_) {
     if (membership_.IsSilent(sideId, awakeClock_.At(aNow))) {
@@ -710,8 +713,8 @@
   std::vector<EntryAction> actions;
   Private& self = *private_;
   const auto found = self.requests_.find(aAnswer.requestId_);
-  // Late, doubled or misdirected: only the attempt in progress, answered by the
-  // side that it was sent to, reaches the caller.
+  // Drops late, duplicate and misdirected answers: only the answer to the
+  // attempt in flight, from the side to which it was sent, reaches the caller.
   if (found == self.requests_.end() ||
       found->second.attemptId_ != aAnswer.attemptId_ ||
       found->second.sideId_ != aSideId) {
--- a/Source/Request/EntryCore.h
+++ b/Source/Request/EntryCore.h
@@ -16,13 +16,14 @@
 
 namespace cactusrail {
 
-/** A caller's request, checked against the configuration by the I/O layer. */
+/** A caller's request, validated against the configuration by the I/O layer. */
 struct RequestFacts
 {
   std::string requestId_;
   std::string tenant_;
   std::string service_;
-  /** If false, it runs at most once: a claim is written before dispatch. */
+  /** If false, the request runs at most once: a claim is written before
+   * dispatch. */
   bool idempotent_ = false;
   /** The caller's Idempotency-Key; the request's id if it sent none. */
   std::string key_;
@@ -33,35 +34,36 @@
   Instant deadline_;
 };
 
-/** Tell the I/O layer: send one attempt to a side. */
+/** Action: send one attempt to a side. */
 struct SendDispatch
 {
   std::string sideId_;
   DispatchMessage dispatch_;
 };
 
-/** Tell the I/O layer: tell a side that nobody waits for an attempt. */
+/** Action: notify a side that an attempt is abandoned. */
 struct SendCancel
 {
   std::string sideId_;
   CancelMessage cancel_;
 };
 
-/** Tell the I/O layer: answer the caller, now and for good. */
+/** Action: send the final answer to the caller. */
 struct AnswerCaller
 {
   std::string requestId_;
   Verdict verdict_ = Verdict::MayHaveRun;
-  /** The upstream's status, or one of ours if there is no answer of its own. */
+  /** HTTP status of the upstream, or of the entry if the upstream gave no
+   * answer. */
   int status_ = 0;
   HeaderList headers_;
   std::string body_;
-  /** Ours, if the upstream gave no answer: a whole sentence. */
+  /** Complete sentence of the entry if the upstream gave no answer. */
   std::string reason_;
   Millis retryAfter_{ 0 };
 };
 
-/** Tell the I/O layer: remember a step for explain. */
+/** Action: store a step for the explain command. */
 struct RecordEntryStep
 {
   RequestStep step_;
@@ -71,57 +73,59 @@
   variant<SendDispatch, SendCancel, AnswerCaller, WriteClaim, RecordEntryStep>;
 
 /**
- * What an entry decides about callers' requests: where an attempt goes, when
- * another follows, and what the caller is told. Pure: events and a time in,
- * actions out. Each lane of an entry owns one; tests drive it on a virtual
- * clock.
+ * Decision logic of an entry for callers' requests: the destination of each
+ * attempt, retries, and the answer to the caller. Performs no I/O: handles
+ * events with a time and returns actions. Each lane of an entry owns one; tests
+ * drive it on a virtual clock.
  */
 class EntryCore
 {
 public:
   struct Limits
   {
-    /** Attempts that one request may take, the first included. */
+    /** Maximum number of attempts per request, including the first one. */
     std::size_t maxAttempts_ = 3;
     std::size_t maxRequests_ = 4096;
-    /** What a refused caller is told to wait. */
+    /** Retry delay that is sent to a refused caller. */
     Millis retryAfter_{ 500 };
-    /** One write of a claim may take so long. */
+    /** Timeout of one claim write. */
     Millis claimTimeout_{ 500 };
-    /** Writes of a claim that one request may try. */
+    /** Maximum number of claim writes per request. */
     std::size_t maxClaimWrites_ = 4;
-    /** How long the answer to a given-up attempt is still of use. */
+    /** Time for which the late answer to an abandoned attempt is accepted. */
     Millis lateAnswers_{ 60000 };
-    /** For drawing sides; another in each lane, so that they don't herd. */
+    /** Seed of the side selection. It differs between lanes, so that they
+     * don't all choose the same side. */
     std::uint64_t seed_ = 0;
-    /** Sides in this data centre are preferred. */
+    /** Data centre of the preferred sides. */
     std::string dataCentre_;
   };
 
   explicit EntryCore(const Limits& aLimits);
   ~EntryCore();
 
-  /** A side was heard. */
+  /** Handles a heartbeat of a side. */
   MembershipChange OnHeartbeat(const HeartbeatMessage& aHeartbeat,
                                Instant aNow);
 
   std::vector<EntryAction> OnRequest(const RequestFacts& aRequest,
                                      Instant aNow);
 
-  /** A write of a claim or an outcome ended. */
+  /** Handles the result of a write of a claim or an outcome. */
   std::vector<EntryAction> OnClaimWritten(const std::string& aRequestId,
                                           std::uint64_t aWriteId,
                                           const ClaimWriteResult& aResult,
                                           Instant aNow);
 
-  /** A side ended an attempt. The side must be the one it was sent to. */
+  /** Handles the answer to an attempt. Only an answer from the side to which
+   * the attempt was sent is accepted. */
   std::vector<EntryAction> OnAnswer(const std::string& aSideId,
                                     const AnswerMessage& aAnswer,
                                     Instant aNow);
 
   /**
-   * The connection to a side ended. Attempts on it may have run, unless the
-   * connection never stood.
+   * Handles the end of the connection to a side. Attempts sent over it may have
+   * run, unless the connection was never established.
    */
   std::vector<EntryAction> OnSideLost(const std::string& aSideId,
                                       bool aNeverConnected,
@@ -130,19 +134,20 @@
   std::vector<EntryAction> OnCallerGone(const std::string& aRequestId,
                                         Instant aNow);
 
-  /** Time passed: requests beyond their deadline get their final answer. */
+  /** Sends the final answer to requests whose deadline passed. */
   std::vector<EntryAction> OnTick(Instant aNow);
 
-  /** A planned stop reached its bound: all get their final answer now. */
+  /** Sends the final answer to all requests when the timeout of a planned stop
+   * expires. */
   std::vector<EntryAction> OnStopBound(Instant aNow);
 
-  /** Requests that have no final answer yet. */
+  /** Number of requests without a final answer. */
   std::size_t InProgress() const;
 
-  /** Outcomes that the table service does not have yet. */
+  /** Number of outcomes that are not stored in the table service yet. */
   std::size_t UnwrittenOutcomes() const;
 
-  /** The sides that this core has heard of. */
+  /** Sides from which this core has received heartbeats. */
   const MembershipView& Membership() const;
 
 private:
--- a/Source/Request/ExplainVerdict.cxx
+++ b/Source/Request/ExplainVerdict.cxx
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** The steps of one request, sorted by what they can settle. */
+/** Steps of one request that determine its verdict. */
 struct Evidence
 {
   const RequestStep* ran_ = nullptr;
@@ -53,8 +53,8 @@
     return { Verdict::DidNotRun,
              evidence.concluded_->host_ + " ended it without running it." };
   }
-  // An owner that has not ended it may dispatch again, and one that was killed
-  // may have dispatched what nobody remembers.
+  // An entry that has not finished the request may dispatch again, and one that
+  // was killed may have dispatched an attempt without a stored step.
   if (!evidence.ended_) {
     return { Verdict::MayHaveRun,
              "The entry that took it has not ended it, or is gone." };
--- a/Source/Request/OutcomeWriter.cxx
+++ b/Source/Request/OutcomeWriter.cxx
@@ -16,8 +16,9 @@
   write.writeId_ = ++nextWriteId_;
   write.tenant_ = aOutcome.claim_.tenant_;
   write.key_ = aOutcome.claim_.key_;
-  // Never unconditional: an entry that was frozen meanwhile would overwrite the
-  // claim of the request that took the key after this one was given up.
+  // The write is always conditional: an entry that was stalled would otherwise
+  // overwrite the claim of a request that claimed the key after this one was
+  // abandoned.
   write.expectedRevision_ = aOutcome.claim_.revision_;
   write.record_ = aOutcome.record_;
   write.deadline_ = aNow + limits_.writeTimeout_;
@@ -115,7 +116,7 @@
   const bool applied = aResult.outcome_ == ClaimWrite::Applied;
   const bool ours = applied || aResult.record_.requestId_ == aRequestId;
   if (!ours) {
-    // Our write never took effect and another request holds the key now.
+    // The claim write had no effect, and another request owns the key now.
     Forget(aRequestId);
     return std::nullopt;
   }
--- a/Source/Request/OutlierTracker.cxx
+++ b/Source/Request/OutlierTracker.cxx
@@ -46,7 +46,7 @@
 OutlierTracker::SetAside(Entry& aEntry, Instant aNow)
 {
   if (!aEntry.setAside_) {
-    // A fleet that is slow as a whole would lose the runners it needs most.
+    // A fleet that is slow as a whole needs all of its runners.
     const double limit = rules_.maxSetAsidePart_ * static_cast<double>(known_);
     if (static_cast<double>(setAside_ + 1) > limit) {
       return;
@@ -69,7 +69,7 @@
   const auto micros = static_cast<double>(aLatency.count());
   entry.failures_ = 0;
   if (entry.setAside_) {
-    // Answers to what was sent before it was set aside prove nothing new.
+    // Answers to requests sent before the ejection don't count as probes.
     if (!entry.probing_) {
       return;
     }
@@ -108,7 +108,8 @@
 {
   Entry& entry = entries_[aRunner];
   if (entry.setAside_ && entry.probeAt_ <= aNow) {
-    // One probe a pause: a runner that swallows requests gets few of them.
+    // Sends one probe per ejection period, so that a runner that never answers
+    // receives few requests.
     entry.probeAt_ = aNow + entry.pause_;
     entry.probing_ = true;
   }
--- a/Source/Request/Routing.cxx
+++ b/Source/Request/Routing.cxx
@@ -11,17 +11,17 @@
 
 namespace {
 
-/** Own load is remembered in steps of this length, for comparing with reports.
- */
+/** Resolution of the history of own load, for comparison with reports. */
 constexpr Micros kHistoryStep{ 100000 };
 constexpr std::size_t kHistorySteps = 32;
 constexpr double kLatencySmoothing = 0.05;
-/** Before so many answers a mean tells of the requests, not of the runner. */
+/** Minimum number of answers before a mean latency describes the runner. With
+ * fewer, the mean depends on the individual requests. */
 constexpr std::uint32_t kFewAnswers = 20;
 constexpr double kFleetSmoothing = 0.005;
 constexpr double kOthersSmoothing = 0.3;
 
-/** A small generator seeded by the caller's random number. */
+/** Small random generator, seeded with the caller's random number. */
 std::uint64_t
 NextDraw(std::uint64_t& aState)
 {
@@ -38,12 +38,12 @@
   bool sameDataCentre_ = false;
   double slots_ = 1;
   double own_ = 0;
-  /** The load that others put there: reports less our own share, smoothed. */
+  /** Smoothed load from others: reported load minus own load. */
   double others_ = 0;
   bool reported_ = false;
   double latencyMicros_ = 0;
   std::uint32_t answers_ = 0;
-  /** Own load by time step, a ring. */
+  /** Ring buffer of own load per time step. */
   std::array<float, kHistorySteps> history_{};
   std::int64_t lastStep_ = 0;
   std::size_t place_ = 0;
@@ -61,7 +61,7 @@
   return static_cast<std::size_t>(aStep) % kHistorySteps;
 }
 
-/** Writes the own load into the steps that passed since the last change. */
+/** Stores the own load for the time steps since the last change. */
 void
 Advance(RunnerState& aState, Instant aNow)
 {
@@ -74,7 +74,8 @@
   aState.lastStep_ = std::max(aState.lastStep_, step);
 }
 
-/** Own load at an earlier time; what is beyond the ring reads as the oldest. */
+/** Own load at an earlier time; times before the ring buffer give its oldest
+ * value. */
 double
 OwnLoadAt(const RunnerState& aState, Instant aTime)
 {
@@ -104,7 +105,7 @@
   OutlierTracker outliers_;
   std::vector<RunnerState> runners_;
   std::vector<Runner> free_;
-  /** The runners that are present, in no order. */
+  /** Present runners, unordered. */
   std::vector<Runner> present_;
   double fleetMicros_ = 0;
 };
@@ -117,12 +118,13 @@
   const double used = (load + 1) / aState.slots_;
   const double crossing =
     aState.sameDataCentre_ ? 0 : static_cast<double>(rules_.crossing_.count());
-  // A new runner counts as slow as the fleet. Taken for faster, it would draw
-  // every request until its first answers.
+  // A new runner is assumed to be as slow as the fleet. If it were assumed to
+  // be faster, it would get every request until its first answers.
   const double latency =
     aState.answers_ < kFewAnswers ? fleetMicros_ : aState.latencyMicros_;
-  // Squared against the fleet: a request sent to a runner that is twice as slow
-  // is far likelier to end in the tail than two that are a little slow.
+  // The ratio to the fleet is squared: one request on a runner that is twice as
+  // slow is far more likely to end in the latency tail than two requests on
+  // slightly slow runners.
   return latency * latency / fleetMicros_ * (1 + wait + used * used) + crossing;
 }
 
@@ -186,8 +188,9 @@
   RunnerState& state = private_->runners_[aRunner];
   Advance(state, aNow);
   state.slots_ = std::max<std::uint32_t>(1, aReport.slots_);
-  // The report counts our own attempts of that time; subtracting today's would
-  // make a runner look free just after we filled it.
+  // The report includes the own attempts at the time of the measurement.
+  // Subtracting the current own load would make a runner look free right after
+  // this router filled it.
   const double others =
     std::max(0.0,
              static_cast<double>(aReport.busy_ + aReport.queued_) -
@@ -212,8 +215,9 @@
   double bestCost = std::numeric_limits<double>::max();
   std::size_t drawn = 0;
   std::uint64_t draws = aRandom;
-  // A walk from a random start with a random stride costs no allocation; after
-  // the drawn runners it goes on only while none of them could be used.
+  // Walks from a random start with a random stride, without an allocation.
+  // After the sampled runners the walk continues only while none of them is
+  // usable.
   const std::size_t start = aRandom == 0 ? 0 : NextDraw(draws) % count;
   for (std::size_t step = 0; step < count; ++step) {
     const std::size_t index = drawn < self.rules_.drawn_ && count > 16
@@ -226,7 +230,7 @@
       continue;
     }
     if (self.outliers_.IsSetAside(runner)) {
-      // A probe is due. The request that meets it takes it.
+      // A probe is due, and this request becomes the probe.
       return runner;
     }
     const double cost = self.Cost(self.runners_[runner]);
--- a/Source/Request/ServiceSides.cxx
+++ b/Source/Request/ServiceSides.cxx
@@ -91,8 +91,8 @@
 bool
 ServiceSides::Knows(const Choice& aChoice) const
 {
-  // A side that left and came back has another runner, or the same number with
-  // nothing sent to it yet.
+  // A side that left and returned has another runner, or the same index with no
+  // attempt sent to it yet.
   const auto found = members_.find(aChoice.sideId_);
   return found != members_.end() && found->second.runner_ == aChoice.runner_ &&
          found->second.incarnation_ == aChoice.incarnation_;
--- a/Source/Request/SideCore.cxx
+++ b/Source/Request/SideCore.cxx
@@ -12,13 +12,13 @@
 
 namespace {
 
-/** How long attempt ids are remembered after their deadline. */
+/** Time for which attempt ids are stored after their deadline. */
 constexpr Millis kRememberAttempts{ 60000 };
 
-/** Weight of the newest answer in what attempts are taken to need. */
+/** Weight of the newest answer in the estimated service time. */
 constexpr double kLearnService = 0.1;
 
-/** More than a day left to a deadline is taken for a day. */
+/** Maximum remaining time to a deadline; longer times are clamped. */
 constexpr std::uint64_t kMaxRemainingMicros = 86400000000;
 
 enum class AttemptState : std::uint8_t
@@ -36,7 +36,7 @@
   Instant deadline_;
   Instant arrivedAt_;
   Instant startedAt_;
-  /** Its place in the queue; 0 once it runs. */
+  /** Position in the queue; 0 once the attempt runs. */
   std::uint64_t turn_ = 0;
 };
 
@@ -89,23 +89,23 @@
 
   Limits limits_;
   std::optional<Announcement> upstream_;
-  /** Of the latest announcement that counted, lapsed or not. */
+  /** Incarnation of the latest accepted announcement, expired or not. */
   std::uint64_t lastIncarnation_ = 0;
   bool upstreamLeaving_ = false;
   bool stopping_ = false;
   std::unordered_map<std::string, Attempt> attempts_;
-  /** Attempts that wait, by their turn. */
+  /** Waiting attempts in queue order. */
   std::map<std::uint64_t, std::string> queue_;
-  /** Of the bodies that wait. */
+  /** Total size of the waiting bodies. */
   std::size_t queuedBytes_ = 0;
   std::uint64_t nextTurn_ = 1;
-  /** What attempts took at the upstream; smoothed. */
+  /** Smoothed service time of attempts at the upstream. */
   double serviceMicros_;
   std::size_t running_ = 0;
-  /** Attempt ids that were taken or refused, and when to forget them. */
+  /** Accepted and refused attempt ids, with their expiry times. */
   std::unordered_set<std::string> taken_;
   std::set<std::pair<Instant, std::string>> takenOrder_;
-  /** Incarnations of the upstream that left or were replaced. */
+  /** Upstream incarnations that left or were replaced. */
   std::deque<std::uint64_t> past_;
 };
 
@@ -207,10 +207,11 @@
 }
 
 /**
- * How long an attempt that arrives now would wait for a slot.
+ * Estimates the time for which an attempt that arrives now waits for a slot.
  *
- * By what answered attempts took, or by how long those that run have taken
- * already: of an upstream that hangs nothing else is learned.
+ * The estimate uses the service time of answered attempts, or the time that the
+ * running attempts have taken so far: an upstream that hangs gives no answers
+ * to measure.
  */
 Micros
 SideCore::Private::ExpectedWait(Instant aNow) const
@@ -232,7 +233,7 @@
   return Micros(static_cast<std::int64_t>(service * ahead / slots));
 }
 
-/** When an attempt with as much time left would be taken, as things are. */
+/** Estimates when an attempt with the same remaining time would be accepted. */
 Millis
 SideCore::Private::RetryAfter(const DispatchMessage& aDispatch,
                               Instant aNow) const
@@ -266,8 +267,9 @@
   call.url_ = "http://" + upstream_->address_ + ":" +
               std::to_string(upstream_->port_) + attempt.dispatch_.target_;
   call.dispatch_ = attempt.dispatch_;
-  // Hanging up at the deadline would leave it unknown for ever whether a payout
-  // ran. The caller has its answer by then; the outcome is for its repeat.
+  // Closing the call at the deadline would leave the outcome of an at-most-once
+  // request unknown forever. The caller has its answer by then; the outcome is
+  // stored for a retry with the same key.
   const bool atMostOnce = !attempt.dispatch_.idempotent_;
   call.deadline_ =
     attempt.deadline_ + (atMostOnce ? limits_.outcomeGrace_ : Millis(0));
@@ -375,8 +377,9 @@
 {
   std::vector<SideAction> actions;
   Private& self = *private_;
-  // A repeat that was under way when the upstream said goodbye, or one of an
-  // old upstream that was frozen, would open a leaving upstream again.
+  // An announcement that was in flight when the upstream sent its goodbye, or
+  // one from an old upstream that was frozen, must not reopen a leaving
+  // upstream.
   if (self.IsPast(aAnnouncement.incarnation_)) {
     return actions;
   }
@@ -401,8 +404,8 @@
   Private& self = *private_;
   const std::uint64_t leaving =
     aIncarnation == 0 ? self.lastIncarnation_ : aIncarnation;
-  // Also if it is not announced now: a late repeat of its announcement must not
-  // open it again.
+  // Also applies if the upstream is not announced now: a late repeat of its
+  // announcement must not reopen it.
   self.EndIncarnation(leaving);
   const bool current =
     self.upstream_.has_value() && self.upstream_->incarnation_ == leaving;
@@ -420,14 +423,14 @@
 {
   std::vector<SideAction> actions;
   Private& self = *private_;
-  // A dispatch that arrives twice must not run twice, and the second must not
-  // be told "did not run", because the first may: it gets no answer at all.
+  // A duplicate dispatch must not run twice. It gets no answer, because "did
+  // not run" would be false if the first copy runs.
   if (self.taken_.contains(aDispatch.attemptId_)) {
     return actions;
   }
   std::string reason = self.ReasonToRefuse(aDispatch, aNow);
   const Instant deadline = aNow + TimeLeft(aDispatch);
-  // A refused one too: its second copy must not run after all.
+  // Stores refused attempts too: a duplicate of one must not run.
   self.Remember(aDispatch.attemptId_, deadline + kRememberAttempts);
   if (!reason.empty()) {
     self.Refuse(actions,
@@ -457,8 +460,8 @@
   const auto found = private_->attempts_.find(aCancel.attemptId_);
   if (found == private_->attempts_.end() || found->second.link_ != aLink ||
       found->second.state_ != AttemptState::Queued) {
-    // What runs goes on: the upstream can't be made to forget it, and its
-    // answer is the only way to learn what became of it.
+    // A running attempt continues: the upstream can't cancel it, and its answer
+    // is the only source of the outcome.
     return actions;
   }
   private_->Refuse(actions,
--- a/Source/Request/SideCore.h
+++ b/Source/Request/SideCore.h
@@ -15,25 +15,25 @@
 
 namespace cactusrail {
 
-/** The side's name for the connection that an attempt came over. */
+/** Identifies the connection from which the side received an attempt. */
 using LinkId = std::uint64_t;
 
-/** What an upstream says of itself when it announces itself to its side. */
+/** Registration that an upstream sends to its side. */
 struct Announcement
 {
   std::string service_;
   Labels labels_;
   std::string address_;
   std::uint16_t port_ = 0;
-  /** How many requests it serves at once. */
+  /** Number of requests that the upstream serves concurrently. */
   std::uint16_t slots_ = 0;
-  /** Changes with every start of the upstream. */
+  /** Differs for each start of the upstream. */
   std::uint64_t incarnation_ = 0;
-  /** The announcement is void unless repeated before this. */
+  /** The announcement expires at this time unless it is repeated. */
   Instant deadline_;
 };
 
-/** Tell the I/O layer: call the upstream. */
+/** Action: call the upstream. */
 struct CallUpstream
 {
   std::string attemptId_;
@@ -42,14 +42,14 @@
   Instant deadline_;
 };
 
-/** Tell the I/O layer: send an answer to the entry that dispatched. */
+/** Action: send an answer to the entry that dispatched the attempt. */
 struct SendAnswer
 {
   LinkId link_ = 0;
   AnswerMessage answer_;
 };
 
-/** Tell the I/O layer: remember a step for explain. */
+/** Action: store a step for the explain command. */
 struct RecordStep
 {
   RequestStep step_;
@@ -58,43 +58,44 @@
 using SideAction = std::variant<CallUpstream, SendAnswer, RecordStep>;
 
 /**
- * What a side decides: which attempts run at its upstream, which wait and which
- * are refused. Pure: events and a time in, actions out. Owned by SideProcess,
- * which runs the actions; tests drive it on a virtual clock.
+ * Decision logic of a side: which attempts run at its upstream, which wait and
+ * which are refused. Performs no I/O: handles events with a time and returns
+ * actions. Owned by SideProcess, which executes the actions; tests drive it on
+ * a virtual clock.
  */
 class SideCore
 {
 public:
   struct Limits
   {
-    /** Attempts that wait for a slot; more are refused at once. Some 300 bytes
-     * each besides what they carry. */
+    /** Maximum number of attempts that wait for a slot; more are refused at
+     * once. Each takes some 300 bytes in addition to its payload. */
     std::size_t maxQueued_ = 256;
-    /** How long the entry should wait after a refusal, at least. */
+    /** Minimum delay before the entry retries after a refusal. */
     Millis retryAfter_{ 200 };
-    /** Bodies of those that wait: sixteen of the largest, of a process's 128
-     * MB. */
+    /** Maximum total size of the waiting bodies: sixteen of the largest, out of
+     * the 128 MB of the process. */
     std::size_t maxQueuedBytes_ = 16U << 20U;
-    /** What an attempt is taken to need at the upstream until answers were
-     * seen.
-     */
+    /** Assumed service time at the upstream until answers are measured. */
     Micros expectedService_{ 20000 };
-    /** Upstream incarnations that are known to be over. */
+    /** Maximum number of ended upstream incarnations that are stored. */
     std::size_t maxPastIncarnations_ = 64;
-    /** How long past its deadline an at-most-once request is listened for. */
+    /** Time past its deadline for which the call of an at-most-once request
+     * stays open. */
     Millis outcomeGrace_{ 10000 };
   };
 
   explicit SideCore(const Limits& aLimits);
   ~SideCore();
 
-  /** The upstream announced itself, anew or again. */
+  /** Handles a first or repeated announcement of the upstream. */
   std::vector<SideAction> OnAnnounce(const Announcement& aAnnouncement,
                                      Instant aNow);
 
   /**
-   * The upstream said goodbye: what it runs may finish, nothing new starts.
-   * Incarnation 0, if it did not name one, means the latest announced.
+   * Handles the goodbye of the upstream: running attempts may finish, and no
+   * new attempt starts. Incarnation 0 (none given) means the latest announced
+   * one.
    */
   std::vector<SideAction> OnGoodbye(std::uint64_t aIncarnation, Instant aNow);
 
@@ -105,34 +106,35 @@
                                    const CancelMessage& aCancel,
                                    Instant aNow);
 
-  /** The upstream's whole answer to an attempt. */
+  /** Handles the upstream's complete answer to an attempt. */
   std::vector<SideAction> OnUpstreamAnswer(const std::string& aAttemptId,
                                            int aStatus,
                                            const HeaderList& aHeaders,
                                            const std::string& aBody,
                                            Instant aNow);
 
-  /** The call to the upstream failed; the failure says what is known. */
+  /** Handles a failed call to the upstream; aFailure holds the verdict. */
   std::vector<SideAction> OnUpstreamFailure(const std::string& aAttemptId,
                                             const Failure& aFailure,
                                             Instant aNow);
 
-  /** The connection to an entry ended: what it queued is dropped. */
+  /** Drops the queued attempts of an entry whose connection ended. */
   std::vector<SideAction> OnLinkLost(LinkId aLink, Instant aNow);
 
-  /** A planned stop began: nothing new is taken, what is here finishes. */
+  /** Starts a planned stop: new attempts are refused, accepted ones finish. */
   std::vector<SideAction> OnStop(Instant aNow);
 
-  /** The stop reached its bound: all that is left is answered now. */
+  /** Answers all remaining attempts when the timeout of the stop expires. */
   std::vector<SideAction> OnStopBound(Instant aNow);
 
-  /** Time passed: expired attempts and announcements go. */
+  /** Removes expired attempts and announcements. */
   std::vector<SideAction> OnTick(Instant aNow);
 
-  /** The facts of the next heartbeat; identity and address are the caller's. */
+  /** Returns the next heartbeat; the caller sets identity and address. */
   HeartbeatMessage Heartbeat(Instant aNow) const;
 
-  /** Nothing is queued or running: a planned stop may end. */
+  /** Whether no attempt is queued or running, so that a planned stop may end.
+   */
   bool Idle() const;
 
 private:
