--- a/Source/Request/Admission.cxx
+++ b/Source/Request/Admission.cxx
@@ -49,7 +49,7 @@
   const Instant start = ExpectedStart(aNow);
   const Micros service(std::llround(serviceMicros_));
   if (start + service > aDeadline) {
-    return Refused{ "The request can't be answered before its deadline; it was "
+    return Refused{ "The request can't be answered before its deadline and was "
                     "not started.",
                     start };
   }
@@ -57,9 +57,11 @@
   if (waiting_ >= rules_.maxWaiting_) {
     const std::optional<std::uint32_t> victim = FindVictim(aTenant, aUrgency);
     if (!victim.has_value()) {
-      return Refused{ "Too many requests wait for the service; this one was "
-                      "not started.",
-                      start };
+      return Refused{
+        "Too many requests wait for the service; retry later. This request "
+        "was not started.",
+        start
+      };
     }
     admitted.shed_ = TicketOf(*victim);
     Unlink(*victim);
--- a/Source/Request/EntryCore.cxx
+++ b/Source/Request/EntryCore.cxx
@@ -282,7 +282,11 @@
     Claim(aActions, aRequest, aNow);
     return;
   }
-  GiveUp(aActions, id, 503, "The key is contended; ask again.", aNow);
+  GiveUp(aActions,
+         id,
+         503,
+         "Several requests compete for the key; retry the request.",
+         aNow);
 }
 
 void
@@ -648,8 +652,11 @@
   request.facts_ = aRequest;
   self.deadlines_.emplace(aRequest.deadline_, id);
   if (full) {
-    self.GiveUp(
-      actions, id, 503, "This entry has too many requests open.", aNow);
+    self.GiveUp(actions,
+                id,
+                503,
+                "This entry has too many open requests; retry later.",
+                aNow);
     return actions;
   }
   ServiceSides& sides = self.SidesOf(aRequest.service_);
--- a/Source/Request/SideCore.cxx
+++ b/Source/Request/SideCore.cxx
@@ -18,7 +18,7 @@
 /** Weight of the newest answer in the estimated service time. */
 constexpr double kLearnService = 0.1;
 
-/** Maximum remaining time to a deadline; longer times are clamped. */
+/** Maximum remaining time to a deadline: one day. Longer times are clamped. */
 constexpr std::uint64_t kMaxRemainingMicros = 86400000000;
 
 enum class AttemptState : std::uint8_t
@@ -388,7 +388,7 @@
     self.upstream_->incarnation_ != aAnnouncement.incarnation_;
   if (restarted) {
     self.EndIncarnation(self.upstream_->incarnation_);
-    self.RefuseQueued(actions, "The upstream was started anew.");
+    self.RefuseQueued(actions, "The upstream was started again.");
   }
   self.upstreamLeaving_ = false;
   self.upstream_ = aAnnouncement;
--- a/Tests/Golden/GoldenTest.cxx
+++ b/Tests/Golden/GoldenTest.cxx
@@ -22,7 +22,7 @@
   return text.str();
 }
 
-/** The first line that differs, as a reader wants to see it. */
+/** Describes the first line that differs. */
 std::string
 FirstDifference(const std::string& aGolden, const std::string& aNow)
 {
@@ -47,7 +47,8 @@
   }
 }
 
-/** Runs one script; returns whether it broke nothing and equals its golden. */
+/** Runs one script; returns whether all checks pass and the transcript equals
+ * its golden file. */
 bool
 RunSession(const std::filesystem::path& aScript)
 {
@@ -61,7 +62,7 @@
   const std::string name = aScript.stem().string();
   const std::string expected = ReadFile(golden);
   const bool equal = expected == cluster.Transcript();
-  // In one piece, because the promises' tests run at once.
+  // Written in one piece, because the tests run concurrently.
   std::ostringstream report;
   for (const std::string& sentence : cluster.Broken()) {
     report << name << ": BROKEN: " << sentence << "\n";
@@ -97,7 +98,7 @@
 
 }
 
-// Each session's story stands at the head of its script.
+// The head of each script describes its scenario.
 Test(Golden, Promise4WholeAnswerToItsOwnCaller)
 {
   RunPromise("promise4-");
--- a/Tests/Golden/RandomSessionsTest.cxx
+++ b/Tests/Golden/RandomSessionsTest.cxx
@@ -17,7 +17,7 @@
 constexpr int kHealAt = 7000;
 constexpr int kAgainAt = 10000;
 
-/** Writes the script of one session: requests, and faults that overlap. */
+/** Generates the script of a session with requests and overlapping faults. */
 class ScriptWriter
 {
 public:
@@ -170,10 +170,10 @@
 
 }
 
-// Callers' requests and up to five faults at once, at random times, in
-// thousands of sessions. A payout that ran twice, a false "did not run", an
-// answer to the wrong caller or a key that stays blocked fails the test, with
-// the seed and the script that shows it.
+// Runs thousands of sessions with requests and up to five concurrent faults at
+// random times. Guards against at-most-once requests that run twice, a false
+// "did not run", answers to the wrong caller and keys that stay blocked. A
+// failure prints the seed and the script.
 Test(RandomSessions, KeepEveryPromise)
 {
   SessionCounts total;
--- a/Tests/Golden/VirtualCluster.cxx
+++ b/Tests/Golden/VirtualCluster.cxx
@@ -27,20 +27,20 @@
 constexpr Micros kSideTick{ 50000 };
 constexpr Micros kHeartbeat{ 200000 };
 constexpr Micros kAnnounce{ 1000000 };
-/** As in SideProcess. */
+/** Same value as in SideProcess. */
 constexpr Millis kAnnouncementLife{ 3000 };
 constexpr Millis kLeavingNotice{ 1000 };
-/** A session runs on after its last event. */
+/** Time for which a session continues after its last event. */
 constexpr Millis kDrain{ 8000 };
-/** A caller whose entry lives has its answer so soon after the deadline. */
+/** Maximum delay of an answer after the deadline, if the entry is alive. */
 constexpr Millis kAnswerSlack{ 30 };
 constexpr std::size_t kShownBody = 60;
 constexpr std::string_view kRetryLabel = "again-";
 /**
- * Promise 7: so long after it began to leave, an upstream gets nothing new.
- * What its side was told counts at once, what it must notice takes the life of
- * an announcement. A side that is frozen itself takes up later what was sent to
- * it before; the bound begins when it thaws.
+ * Promise 7: maximum time after the start of its leave in which an upstream
+ * gets new attempts. A leave that is reported to the side takes effect at once;
+ * one that the side must detect takes the lifetime of an announcement. A frozen
+ * side accepts earlier messages later, so its time starts when it thaws.
  */
 constexpr Millis kToldBound{ 10 };
 constexpr Millis kNoticedBound = kAnnouncementLife + kToldBound;
@@ -88,15 +88,15 @@
   bool announces_ = false;
   bool closes_ = false;
   std::uint64_t incarnation_ = 0;
-  /** The incarnation that this one replaced. */
+  /** Incarnation that this one replaced. */
   std::uint64_t before_ = 0;
   std::uint16_t slots_ = 2;
-  /** When it began to leave; reset by its next start. */
+  /** Whether the upstream is leaving; reset by its next start. */
   bool leaving_ = false;
   std::string leavingHow_;
   Instant leavingSince_;
   bool sideFroze_ = false;
-  /** When the side last heard an announcement. */
+  /** Time at which the side received the last announcement. */
   Instant announcedAt_;
   std::int64_t lastCallAfter_ = 0;
   std::set<std::string> calls_;
@@ -317,7 +317,7 @@
   std::map<std::string, std::uint64_t> runsByRequest_;
   std::map<std::string, std::uint64_t> runsByKey_;
   std::map<std::string, std::string> bodyByKey_;
-  /** When a side took up a dispatch, by attempt. */
+  /** Time at which a side received a dispatch, by attempt. */
   std::map<std::string, Instant> takenAt_;
   std::map<std::string, std::string> expected_;
   bool entryKilled_ = false;
@@ -350,18 +350,18 @@
 }
 
 /**
- * entry NAME | side NAME | upstream SIDE           a process starts, anew too
- * send LABEL ENTRY KEY once|many DEADLINE SERVE [BODY]    BODY BYTESx: so long
+ * entry NAME | side NAME | upstream SIDE           starts or restarts a process
+ * send LABEL ENTRY KEY once|many DEADLINE SERVE [BODY]    BODY BYTESx: its size
  * hangup LABEL
- * cut|block|unblock|stall|unstall|double ENTRY SIDE  of their connection
- * mute|unmute|echo SIDE                              of its heartbeats
- * goodbye|goodbye-lost|silence|dies|closes SIDE      of its upstream
- * announce SIDE                  a repeat that was on its way arrives only now
- * goodbye-old SIDE               the goodbye of the upstream before this one
+ * cut|block|unblock|stall|unstall|double ENTRY SIDE  affects their connection
+ * mute|unmute|echo SIDE                              affects its heartbeats
+ * goodbye|goodbye-lost|silence|dies|closes SIDE      affects its upstream
+ * announce SIDE                  delivers a delayed repeat of an announcement
+ * goodbye-old SIDE               goodbye of the previous upstream incarnation
  * freeze|thaw|kill NODE, stop NODE BOUND             entry or side
  * table up|down|stall|lost|late|slow
  * heal                                               ends all faults
- * expect LABEL ran|not-run|may-have-run          what the caller must be told
+ * expect LABEL ran|not-run|may-have-run          expected verdict of the caller
  */
 void
 VirtualCluster::Private::Execute(const Words& aWords)
@@ -532,7 +532,7 @@
   const std::string frozen = aUpstream.sideFroze_ ? ", side frozen" : "";
   leaving_[how + frozen].push_back(aUpstream.lastCallAfter_);
   const bool noticed = how == "silence" || how == "lost goodbye";
-  // A repeat that was on its way when the upstream fell silent counts too.
+  // Includes an announcement in flight when the upstream stopped announcing.
   const Millis heard =
     std::max(Millis(0),
              std::chrono::ceil<Millis>(aUpstream.announcedAt_ -
@@ -808,7 +808,7 @@
       const std::size_t unwritten = entry->core_->UnwrittenOutcomes();
       Say("entry/" + aName + " ends, " + std::to_string(unwritten) +
           " outcomes unwritten");
-      // Its keys stay as they are, as if it had been killed.
+      // The keys stay claimed, as if the entry had been killed.
       entryKilled_ = entryKilled_ || unwritten > 0;
       CutAll(aName);
       entry->core_.reset();
@@ -1416,7 +1416,7 @@
       Break(text.str());
     }
   }
-  // A session that ends with "again-KEY" after "heal": the retry must run.
+  // A retry "again-KEY" after "heal" at the end of a session must run.
   for (const auto& [label, caller] : callers_) {
     const bool ran =
       !caller.told_.empty() && caller.told_.front().verdict_ == Verdict::Ran;
--- a/Tests/Golden/VirtualCluster.h
+++ b/Tests/Golden/VirtualCluster.h
@@ -9,7 +9,7 @@
 
 namespace cactusrail {
 
-/** What became of the requests of one or many sessions. */
+/** Counts of requests and their outcomes in one or more sessions. */
 struct SessionCounts
 {
   std::uint64_t sent_ = 0;
@@ -17,7 +17,8 @@
   std::uint64_t answered_ = 0;
   std::uint64_t notRun_ = 0;
   std::uint64_t mayHaveRun_ = 0;
-  /** The entry died, or the caller hung up. */
+  /** Requests without an answer because the entry died or the caller hung up.
+   */
   std::uint64_t untold_ = 0;
   std::uint64_t doubled_ = 0;
   std::uint64_t falseNotRun_ = 0;
@@ -32,29 +33,30 @@
 
 /**
  * Entries, sides, upstreams, callers and the table service of one session, on a
- * virtual clock and network. The entries and sides are the very EntryCore and
- * SideCore of the daemons. A script says what happens, one event a line:
- * milliseconds, a verb, its words. Verbs are listed in VirtualCluster.cxx.
+ * virtual clock and network. The entries and sides use the EntryCore and the
+ * SideCore of the daemons. A script has one event per line: the time in
+ * milliseconds, a verb and its arguments. VirtualCluster.cxx lists the verbs.
  */
 class VirtualCluster
 {
 public:
-  /** Without a transcript a session runs faster. */
+  /** A session without a transcript runs faster. */
   explicit VirtualCluster(bool aKeepTranscript);
   ~VirtualCluster();
 
-  /** Runs the whole script; call it once. */
+  /** Runs the complete script; may be called once. */
   void Run(std::string_view aScript);
 
   const std::string& Transcript() const;
   const SessionCounts& Counts() const;
 
-  /** Broken promises, a whole sentence each; empty if all held. */
+  /** Violated guarantees, a complete sentence each; empty if there are none. */
   const std::vector<std::string>& Broken() const;
 
   /**
-   * For each way to leave: from its begin to the last new dispatch that the
-   * upstream's side still took and the upstream ran; 0 if there was none.
+   * Times in milliseconds, by the way in which an upstream leaves: from the
+   * start of the leave to the last new dispatch that the side accepted and the
+   * upstream ran; 0 if there was none.
    */
   const std::map<std::string, std::vector<std::int64_t>>& LeavingMillis() const;
 
--- a/Tests/Unit/AdmissionTest.cxx
+++ b/Tests/Unit/AdmissionTest.cxx
@@ -37,8 +37,8 @@
 
 }
 
-// An accountant waits ten seconds for a time-out, though it was clear from the
-// first moment that the queue is longer than her deadline.
+// Guards against requests that wait for their timeout, for instance ten
+// seconds, although the queue already exceeds their deadline on arrival.
 Test(Admission, RefusesAtOnceWhatCantMeetItsDeadline)
 {
   Admission admission = Small(100);
@@ -55,8 +55,8 @@
   cr_assert(std::holds_alternative<Admission::Admitted>(patient));
 }
 
-// One tenant's flood fills the queue, and every other tenant's clerks are told
-// to come back later.
+// Guards against one tenant's burst filling the queue, so that the requests of
+// all other tenants are refused.
 Test(Admission, FullQueueShedsTheTenantBeyondItsShare)
 {
   Admission admission = Small(4);
@@ -70,7 +70,8 @@
   const auto decision =
     admission.Offer(quiet, Urgency::Normal, At(60000), At(0));
   const auto& admitted = std::get<Admission::Admitted>(decision);
-  cr_assert(admitted.shed_ == last, "the newest of the flood gives way");
+  cr_assert(admitted.shed_ == last,
+            "the newest request of the burst is not shed");
   cr_assert_eq(admission.Waiting(), 4);
 }
 
@@ -104,8 +105,8 @@
   cr_assert(expired.empty());
 }
 
-// A caller hangs up late; its place in the queue belongs to someone else by
-// then, whose request would be thrown away.
+// Guards against a late cancel that removes another request, because that
+// request reuses the queue index of the cancelled one.
 Test(Admission, LateCancelDoesNotHitThePlacesNextOwner)
 {
   Admission admission = Small(10);
@@ -118,7 +119,8 @@
   cr_assert_eq(admission.Waiting(), 1);
 }
 
-// A flood of cancellations leaves slots taken, and the service starves.
+// Guards against cancelled requests that keep their slots, so that no request
+// can run after a burst of cancellations.
 Test(Admission, CancelsFreeWhatTheyHeld)
 {
   Admission admission = Small(1000);
--- a/Tests/Unit/ClaimBatcherTest.cxx
+++ b/Tests/Unit/ClaimBatcherTest.cxx
@@ -11,7 +11,7 @@
 
 constexpr Instant kStart{ Micros(1000000000) };
 
-/** Rows, and transactions that apply whole or not at all, with a delay. */
+/** Simulated table with atomic transactions that take effect after a delay. */
 class FakeTable
 {
 public:
@@ -95,10 +95,9 @@
   cr_assert(batcher.Begin(kStart).has_value());
 }
 
-// Two clerks press the button for the same payout within a millisecond, and
-// forty others pay something else. Both claims of the one key fall into one
-// group; were they written in one transaction, both would be told that they
-// hold the key. The refused one must not take the forty down with it.
+// Two requests claim one key within a millisecond, together with forty other
+// claims. Guards against both claims in one transaction, after which both
+// requests own the key, and against a refused claim that fails the other forty.
 Test(ClaimBatcher, OneHolderForAKeyAndTheOthersUnharmed)
 {
   ClaimBatcher batcher(ClaimBatcher::Limits{});
@@ -156,10 +155,9 @@
   cr_assert(unknown.front().result_.outcome_ == ClaimWrite::Unknown);
 }
 
-// A clerk's payout is claimed, and the table's answer is lost. The next clerk's
-// claim waits for that answer, has no time left, and the payout is refused
-// although the table is well. It must go beside the lost one, and the lost
-// one's late end must be told of the lost one alone.
+// Guards against a lost answer of the table that blocks the next claim until
+// its deadline, although the table works. The next claim must be sent in
+// parallel, and the late result must apply to the first claim only.
 Test(ClaimBatcher, LostAnswerHoldsUpNoOthers)
 {
   ClaimBatcher batcher(ClaimBatcher::Limits{});
@@ -168,7 +166,7 @@
   batcher.Add(Claim("next", "k2"));
   cr_assert(!batcher.Begin(kStart + Millis(49)).has_value());
   const auto next = batcher.Begin(kStart + Millis(50));
-  cr_assert(next.has_value(), "the next claim waits for a lost answer");
+  cr_assert(next.has_value(), "the next claim waits for the lost answer");
   const auto failed = batcher.OnFailed(lost->id_, ClaimWrite::Unknown);
   cr_assert(failed.size() == 1);
   cr_assert(failed.front().write_.requestId_ == "lost");
@@ -179,9 +177,9 @@
   cr_assert(applied.front().result_.revision_ == 7);
 }
 
-// One payout's answer holds a byte that the table service refuses to keep. Its
-// outcome fails the group that it is in, is tried again, and fails the next
-// group: every clerk's payout of that lane is refused for two minutes.
+// Guards against an outcome that the table service can't store, because of an
+// invalid byte in the answer, failing each batch that it joins on its retries:
+// every claim of the lane would be refused for two minutes.
 Test(ClaimBatcher, WhatFailedGoesAlone)
 {
   ClaimBatcher batcher(ClaimBatcher::Limits{});
@@ -190,9 +188,10 @@
   failed.alone_ = true;
   batcher.Add(failed);
   const auto alone = batcher.Begin(kStart);
-  cr_assert(alone->writes_.size() == 1, "the failed one takes others along");
+  cr_assert(alone->writes_.size() == 1,
+            "the failed write shares its transaction");
   cr_assert(alone->writes_.front().requestId_ == "failed");
   const auto group = batcher.Begin(kStart);
-  cr_assert(group.has_value(), "the failed one holds up the others");
+  cr_assert(group.has_value(), "the failed write blocks the other writes");
   cr_assert(group->writes_.front().requestId_ == "other");
 }
--- a/Tests/Unit/ClaimTransactionTest.cxx
+++ b/Tests/Unit/ClaimTransactionTest.cxx
@@ -9,7 +9,7 @@
 
 constexpr Instant kStart{ Micros(1000000000) };
 
-/** Three payouts' claims in one batch. */
+/** Returns a batch of three claims. */
 ClaimBatcher::Batch
 ThreeClaims(ClaimBatcher& aBatcher)
 {
@@ -26,9 +26,9 @@
 
 }
 
-// Three clerks' payouts are claimed together, and the second's key was used
-// before. Were its row taken for another's, the first clerk would be given the
-// answer to a payout that isn't his, and the second's would run again.
+// One batch holds three claims, and the second key was used before. Guards
+// against assigning its row to another claim: the first caller would get the
+// answer to another request, and the second request would run again.
 Test(ClaimTransaction, RefusalIsOfTheRowItNames)
 {
   ClaimBatcher batcher(ClaimBatcher::Limits{});
@@ -41,14 +41,15 @@
   const auto ended = group.Read(refused, batcher);
   cr_assert(ended.size() == 1);
   cr_assert(ended.front().write_.requestId_ == "b",
-            "a row is taken for another claim's");
+            "a row is assigned to another claim");
   cr_assert(ended.front().result_.outcome_ == ClaimWrite::Refused);
   cr_assert(ended.front().result_.record_.requestId_ == "former");
   const auto again = batcher.Begin(kStart);
   cr_assert(again->writes_.size() == 2);
 }
 
-// The answer to three claims names two rows: the third must not be believed.
+// The answer to three claims holds two rows. Guards against treating the third
+// claim as written.
 Test(ClaimTransaction, AnswerWithoutARowIsADoubt)
 {
   ClaimBatcher batcher(ClaimBatcher::Limits{});
@@ -63,7 +64,7 @@
   cr_assert(ended[0].result_.outcome_ == ClaimWrite::Applied);
   cr_assert(ended[0].result_.revision_ == 7);
   cr_assert(ended[1].result_.outcome_ == ClaimWrite::Unknown,
-            "a claim is given another's revision");
+            "a claim gets the revision of another claim");
 }
 
 Test(ClaimTransaction, LostAnswerIsADoubtOfEach)
@@ -75,6 +76,6 @@
   };
   for (const ClaimBatcher::Ended& ended : group.Read(lost, batcher)) {
     cr_assert(ended.result_.outcome_ == ClaimWrite::Unknown,
-              "a claim is believed whose answer was lost");
+              "a claim whose answer was lost counts as written");
   }
 }
--- a/Tests/Unit/EntryCoreTest.cxx
+++ b/Tests/Unit/EntryCoreTest.cxx
@@ -38,7 +38,7 @@
   return facts;
 }
 
-/** Sides that refuse every attempt at once. */
+/** Simulated sides that refuse every attempt immediately. */
 class RefusingSides
 {
 public:
@@ -78,9 +78,9 @@
 
 }
 
-// Ten runners are full and refuse all. A thousand valuations come within a
-// second; retried twice each, they would be three thousand attempts on runners
-// that are full already. Each caller must have its final answer all the same.
+// Ten runners are full and refuse every attempt of a thousand requests within a
+// second. Guards against two retries of each, which would put three thousand
+// attempts on full runners. Every caller must still get its final answer.
 Test(EntryCore, RetriesDoNotAmplifyAnOutage)
 {
   EntryCore core(EntryCore::Limits{});
@@ -106,8 +106,8 @@
             kRequests);
 }
 
-// Hosts are replaced every day under new names. What an entry remembers of the
-// ones that went must not grow for ever.
+// Guards against unbounded growth of an entry's state for removed sides,
+// because hosts are replaced daily under new names.
 Test(EntryCore, ForgetsSidesThatAreSilentForLong)
 {
   EntryCore core(EntryCore::Limits{});
@@ -118,9 +118,9 @@
   cr_assert(core.Membership().All().empty());
 }
 
-// The table service's answer to a payout's claim was lost. Had one row of its
-// group spoiled the whole group, the claim's second write in a group could be
-// spoiled likewise, and the payout would be refused although the table is well.
+// The table service's answer to a claim was lost. Guards against a second write
+// in a shared batch: if an invalid row fails that batch as well, the request is
+// refused although the table works.
 Test(EntryCore, ClaimInDoubtIsReadAgainAlone)
 {
   EntryCore core(EntryCore::Limits{});
@@ -133,12 +133,13 @@
   actions = core.OnClaimWritten(
     "r1", first.writeId_, { ClaimWrite::Unknown, 0, {} }, kStart);
   const WriteClaim second = std::get<WriteClaim>(actions.back());
-  cr_assert(second.alone_, "the claim in doubt goes with others again");
+  cr_assert(second.alone_,
+            "the claim with an unknown outcome is batched again");
 }
 
 namespace {
 
-/** Whether an attempt of the request went to a side. */
+/** Whether an attempt of the request was sent to a side. */
 bool
 IsDispatched(const std::vector<EntryAction>& aActions)
 {
@@ -147,7 +148,7 @@
   });
 }
 
-/** Whether an attempt in progress was given up. */
+/** Whether an attempt in flight was abandoned. */
 bool
 IsCancelled(const std::vector<EntryAction>& aActions)
 {
@@ -156,7 +157,7 @@
   });
 }
 
-/** Ticks as a lane does, from one time to another. */
+/** Ticks at the interval of a lane from one time to another. */
 void
 TickUntil(EntryCore& aCore, Instant aFrom, Instant aTo)
 {
@@ -167,10 +168,10 @@
 
 }
 
-// A machine stands still for some seconds (a busy host, a moved one), the entry
-// and its sides with it. The first caller after that is read before the sides'
-// heartbeats, and was told that no upstream is there, though all are. It must
-// be served whichever of the two is read first, and however long it took.
+// The host of an entry and its sides stalls for some seconds (high load or
+// migration). Guards against refusing the first request after the stall, for
+// lack of an upstream, because it is read before the sides' heartbeats. The
+// order of reading and the length of the stall must not matter.
 Test(EntryCore, OwnStandstillIsNotTakenForSilenceOfSides)
 {
   for (const int stoodStill : { 400, 1900, 2100, 5000, 60000 }) {
@@ -183,15 +184,15 @@
         core.OnTick(now);
       }
       cr_assert(IsDispatched(core.OnRequest(Valuation(1, now), now)),
-                "Turned away after %d ms.",
+                "The request was refused after %d ms.",
                 stoodStill);
     }
   }
 }
 
-// The same while a caller's request runs at a side whose answer is in the
-// entry's socket already, and the other side's heartbeat is read first. The
-// request must not be given up as lost, nor be sent to the other one as well.
+// A request runs during a stall, its answer is already in the entry's socket,
+// and the heartbeat of another side is read first. Guards against abandoning
+// the request or sending it to the other side as well.
 Test(EntryCore, OwnStandstillLeavesNoAttempt)
 {
   EntryCore core(EntryCore::Limits{});
@@ -210,9 +211,9 @@
   cr_assert_not(IsCancelled(core.OnTick(awake + Millis(100))));
 }
 
-// The guard must not keep sides that are gone: what was not heard of for a
-// heartbeat's time after the standstill is silent, and so is what was silent
-// before it.
+// Guards against the stall handling keeping removed sides usable: a side
+// without a heartbeat for the timeout after the stall is unresponsive, and so
+// is a side that was unresponsive before it.
 Test(EntryCore, SideThatIsGoneIsSilentSoonAfterAStandstill)
 {
   EntryCore core(EntryCore::Limits{});
--- a/Tests/Unit/RoutingTest.cxx
+++ b/Tests/Unit/RoutingTest.cxx
@@ -25,7 +25,7 @@
   return RunnerReport{ 8, aBusy, 0, At(aMeasuredMs) };
 }
 
-/** How many of the choices each runner gets if nothing is sent. */
+/** Number of times that each runner is chosen if nothing is sent. */
 std::map<Router::Runner, int>
 Choices(const Router& aRouter, Instant aNow)
 {
@@ -39,9 +39,9 @@
 
 }
 
-// A clerk's request waits though slots are free: the entry sends a burst to the
-// runner that was idle in the last heartbeat and goes on until the next one,
-// because it doesn't count its own sends.
+// Guards against requests that wait although slots are free, because the entry
+// doesn't count its own sends and keeps sending a burst to the runner that was
+// idle in the last heartbeat until the next one.
 Test(Routing, OwnSendsCountBeforeTheNextReport)
 {
   Router router(Router::Rules{});
@@ -59,9 +59,9 @@
   cr_assert_geq(sent[runners[1]], 4);
 }
 
-// The runner that we filled looks full twice over, and its requests go where
-// they wait: its report counts our attempts of a second ago, and we count them
-// too.
+// Guards against counting own attempts twice, once in the runner's report of a
+// second ago and once locally: the runner would look twice as full, and
+// requests would go to runners where they wait.
 Test(Routing, ReportDoesNotCountOwnSendsTwice)
 {
   Router router(Router::Rules{});
@@ -73,8 +73,8 @@
   cr_assert_float_eq(router.EstimatedLoad(runner, At(2000)), 5, 1e-9);
 }
 
-// All entries send to the runner that a heartbeat shows idle, which is
-// overrun until the next heartbeat.
+// Guards against all entries sending to the one runner that a heartbeat reports
+// as idle, which would be overloaded until the next heartbeat.
 Test(Routing, EntriesWithTheSameViewSpread)
 {
   Router router(Router::Rules{});
@@ -111,8 +111,9 @@
   cr_assert_float_eq(router.EstimatedLoad(again, At(1)), 0, 1e-9);
 }
 
-// One runner refuses everything at once, so it always looks idle and draws all
-// requests: each caller pays a failed attempt.
+// Guards against a runner that refuses every request immediately, therefore
+// always looks idle and attracts all requests, each of which then has a failed
+// attempt.
 Test(Routing, FailingRunnerIsSetAsideAndProbedOnce)
 {
   Router router(Router::Rules{});
@@ -147,8 +148,8 @@
   cr_assert_geq(Choices(router, At(100)).size(), 7);
 }
 
-// The runners fail for a minute; every request is tried three times, and the
-// triple load keeps them down after the cause has gone.
+// Runners fail for a minute. Guards against three attempts per request, whose
+// triple load would prolong the outage after its cause is removed.
 Test(RetryBudget, OutageIsNotAmplified)
 {
   RetryBudget budget(RetryBudget::Rules{});
@@ -189,8 +190,8 @@
 
 }
 
-// An upstream restarts; the late answers of the one before free slots of the
-// new one that they never took, and it is overrun.
+// Guards against overload of a restarted upstream: late answers of its previous
+// incarnation would free slots that they don't use in the new one.
 Test(ServiceSides, RestartedUpstreamStartsAfresh)
 {
   ServiceSides sides("dc1");
@@ -210,7 +211,7 @@
     const auto next = sides.Choose({}, draw, At(50), At(50));
     cr_assert(next.has_value() && next->sideId_ == "s2");
   }
-  // What was tried was the old one: the new one may still be.
+  // The old incarnation was tried; the new one may still be chosen.
   const auto again =
     sides.Choose({ { "s1", 1 }, { "s2", 1 } }, 1, At(50), At(50));
   cr_assert(again.has_value() && again->sideId_ == "s1");
--- a/Tests/Unit/SideCoreTest.cxx
+++ b/Tests/Unit/SideCoreTest.cxx
@@ -11,7 +11,7 @@
 constexpr Instant kStart{ Micros(1000000000) };
 constexpr std::uint16_t kSlots = 8;
 
-/** A side whose upstream has kSlots slots. */
+/** Test bench of a side whose upstream has kSlots slots. */
 class Bench
 {
 public:
@@ -28,7 +28,7 @@
     core_.OnAnnounce(announcement, kStart);
   }
 
-  /** True if the side took it. */
+  /** Whether the side accepted the attempt. */
   bool Dispatch(Millis aLeft, std::size_t aBodyBytes = 10)
   {
     DispatchMessage message;
@@ -43,7 +43,7 @@
     return refused_ == before;
   }
 
-  /** The upstream answers all that it runs now. */
+  /** Answers all attempts that run at the upstream. */
   void AnswerAll()
   {
     for (const std::string& id : std::exchange(running_, {})) {
@@ -78,11 +78,10 @@
 
 }
 
-// Clerks ask for valuations in one moment, several times as many as the
-// upstream has slots. Each takes 20 ms, so all would be answered within 0.2 s;
-// those that found sixteen before them waiting were told to come back later.
-// Seen when an entry was stopped in such a moment: 1 to 6 of 40 turned away
-// after 20 ms, "No further upstream of the service is there to try".
+// A burst has several times as many 20 ms requests as the upstream has slots,
+// so all can be answered within 0.2 s. Guards against a queue limit of sixteen:
+// when an entry stopped during such a burst, 1 to 6 of 40 requests were refused
+// after 20 ms with "No further upstream of the service is there to try".
 Test(SideCore, BurstThatCanBeServedInTimeIsNotTurnedAway)
 {
   Bench bench;
@@ -97,9 +96,9 @@
   cr_assert_eq(bench.answered_, kBurst);
 }
 
-// The upstream has become slow: a valuation takes a second. One that could not
-// start before its caller stops waiting must hear so at once, and when to come
-// back, rather than wait for its time to pass.
+// A slow upstream takes a second per request. Guards against queueing a request
+// that can't start before its deadline: it must be refused at once, with a
+// retry delay.
 Test(SideCore, AttemptThatCannotStartInTimeIsRefusedAtOnce)
 {
   Bench bench;
@@ -110,7 +109,7 @@
     bench.now_ += Millis(1000);
     bench.AnswerAll();
   }
-  // All slots are taken, and as many wait as are served in two seconds.
+  // All slots are busy, and the queue takes two seconds to serve.
   for (std::uint16_t i = 0; i < 3 * kSlots; ++i) {
     cr_assert(bench.Dispatch(Millis(10000)));
   }
@@ -119,8 +118,8 @@
   cr_assert(bench.Dispatch(Millis(4000)));
 }
 
-// The upstream hangs: it answers nothing, so nothing is learned of it either.
-// Callers who could only wait in vain are turned away all the same.
+// An upstream that hangs gives no answers from which to measure its service
+// time. Guards against queueing requests that can't be answered in time.
 Test(SideCore, HungUpstreamMakesNobodyWaitInVain)
 {
   Bench bench;
@@ -131,7 +130,8 @@
   cr_assert_not(bench.Dispatch(Millis(3000)));
 }
 
-// Bodies may be a megabyte each, and a side has 128 MB in all.
+// Guards against queued bodies of up to a megabyte each that exhaust the 128 MB
+// of a side.
 Test(SideCore, QueuedBodiesAreBounded)
 {
   SideCore::Limits limits;
