--- a/Source/Request/AwakeClock.cxx
+++ b/Source/Request/AwakeClock.cxx
@@ -8,10 +8,10 @@
 AwakeClock::OnTick(Instant aNow)
 {
   const bool ticked = lastTick_ != Instant();
-  if (ticked && aNow - lastTick_ > kLongestTick) {
-    stoodStillAt_ = lastTick_;
-    wokeAt_ = aNow;
-    lost_ += aNow - lastTick_ - kLongestTick;
+  if (ticked && aNow - lastTick_ > kMaxTick) {
+    stalledAt_ = lastTick_;
+    resumedAt_ = aNow;
+    excluded_ += aNow - lastTick_ - kMaxTick;
   }
   lastTick_ = aNow;
 }
@@ -22,14 +22,15 @@
   if (lastTick_ == Instant()) {
     return aTime;
   }
-  const Micros longest = kLongestTick;
+  const Micros longest = kMaxTick;
   if (aTime >= lastTick_) {
-    return lastTick_ - lost_ + std::min(aTime - lastTick_, longest);
+    return lastTick_ - excluded_ + std::min(aTime - lastTick_, longest);
   }
-  if (aTime >= wokeAt_) {
-    return aTime - lost_;
+  if (aTime >= resumedAt_) {
+    return aTime - excluded_;
   }
-  return wokeAt_ - lost_ - longest + std::min(aTime - stoodStillAt_, longest);
+  return resumedAt_ - excluded_ - longest +
+         std::min(aTime - stalledAt_, longest);
 }
 
 }
--- a/Source/Request/AwakeClock.h
+++ b/Source/Request/AwakeClock.h
@@ -10,7 +10,7 @@
  *
  * After a stall (a busy or suspended host), messages received meanwhile are
  * still unread in the sockets, and all sides appear to send no heartbeat. On
- * this clock a stall counts as one tick of kLongestTick, whatever its length,
+ * this clock a stall counts as one tick of kMaxTick, whatever its length,
  * so a side times out only if its heartbeats are missing while the process is
  * able to receive them.
  *
@@ -21,7 +21,7 @@
 {
 public:
   /** The loop ticks every 10 to 100 ms; a gap above this limit is a stall. */
-  static constexpr Millis kLongestTick{ 300 };
+  static constexpr Millis kMaxTick{ 300 };
 
   void OnTick(Instant aNow);
 
@@ -32,10 +32,10 @@
 private:
   Instant lastTick_;
   /** The latest stall: the last tick before it and the first tick after it. */
-  Instant stoodStillAt_;
-  Instant wokeAt_;
+  Instant stalledAt_;
+  Instant resumedAt_;
   /** Total stalled time that this clock excludes. */
-  Micros lost_{ 0 };
+  Micros excluded_{ 0 };
 };
 
 }
--- a/Source/Request/ClaimBatcher.cxx
+++ b/Source/Request/ClaimBatcher.cxx
@@ -31,14 +31,14 @@
   if (alone != waiting_.end()) {
     Batch batch{ nextBatchId_++, { std::move(*alone) }, alone->deadline_ };
     waiting_.erase(alone);
-    underWay_.emplace(batch.id_, batch.writes_);
+    inFlight_.emplace(batch.id_, batch.writes_);
     return batch;
   }
   // A lost answer would block every claim of the lane until the call times out,
   // and the claims would exceed their deadlines. Parallel transactions are safe
   // because each row's condition guards it.
-  const bool held =
-    underWay_.contains(lastGroup_) && aNow < lastBegin_ + limits_.patience_;
+  const bool held = inFlight_.contains(lastGroup_) &&
+                    aNow < lastBegin_ + limits_.answerTimeout_;
   if (held || waiting_.empty() || aNow < nextBegin_) {
     return std::nullopt;
   }
@@ -60,7 +60,7 @@
     batch.writes_.push_back(std::move(write));
   }
   waiting_ = std::move(later);
-  underWay_.emplace(batch.id_, batch.writes_);
+  inFlight_.emplace(batch.id_, batch.writes_);
   lastGroup_ = batch.id_;
   lastBegin_ = aNow;
   nextBegin_ = aNow + limits_.interval_;
@@ -70,7 +70,7 @@
 std::vector<WriteClaim>
 ClaimBatcher::Take(std::uint64_t aBatchId)
 {
-  auto node = underWay_.extract(aBatchId);
+  auto node = inFlight_.extract(aBatchId);
   return node.empty() ? std::vector<WriteClaim>() : std::move(node.mapped());
 }
 
--- a/Source/Request/ClaimBatcher.h
+++ b/Source/Request/ClaimBatcher.h
@@ -34,7 +34,7 @@
     /** Minimum interval between the starts of two transactions. */
     Millis interval_{ 20 };
     /** Time without an answer after which the next transaction may start. */
-    Millis patience_{ 50 };
+    Millis answerTimeout_{ 50 };
   };
 
   /** The rows of one transaction; each key occurs once. */
@@ -93,7 +93,7 @@
   Limits limits_;
   std::deque<WriteClaim> waiting_;
   /** Writes of the transactions in flight, by batch id. */
-  std::map<std::uint64_t, std::vector<WriteClaim>> underWay_;
+  std::map<std::uint64_t, std::vector<WriteClaim>> inFlight_;
   std::uint64_t nextBatchId_ = 1;
   std::uint64_t lastGroup_ = 0;
   Instant lastBegin_;
--- a/Source/Request/ClaimRecord.cxx
+++ b/Source/Request/ClaimRecord.cxx
@@ -6,35 +6,35 @@
 
 namespace cactusrail {
 
-ClaimMeaning
-ReadClaim(const ClaimWriteResult& aRow,
-          std::string_view aRequestId,
-          std::string_view aFingerprint)
+ClaimState
+ClassifyClaim(const ClaimWriteResult& aRow,
+              std::string_view aRequestId,
+              std::string_view aFingerprint)
 {
   const ClaimRecord& record = aRow.record_;
   if (aRow.revision_ == 0) {
-    return ClaimMeaning::Free;
+    return ClaimState::Free;
   }
   // The answer to this request's write was lost after it was applied. If the
   // row were treated as another request's claim, a request that never ran would
   // block the key.
   if (record.requestId_ == aRequestId && !record.finished_) {
-    return ClaimMeaning::Ours;
+    return ClaimState::OwnedByRequest;
   }
   if (record.fingerprint_ != aFingerprint) {
-    return ClaimMeaning::OtherRequest;
+    return ClaimState::DifferentRequest;
   }
   if (!record.finished_) {
-    return ClaimMeaning::InProgress;
+    return ClaimState::InProgress;
   }
   if (record.verdict_ == Verdict::DidNotRun) {
-    return ClaimMeaning::Free;
+    return ClaimState::Free;
   }
   if (record.verdict_ == Verdict::MayHaveRun) {
-    return ClaimMeaning::InDoubt;
+    return ClaimState::UnknownOutcome;
   }
-  return record.HasWholeAnswer() ? ClaimMeaning::Replay
-                                 : ClaimMeaning::AnswerNotKept;
+  return record.HasWholeAnswer() ? ClaimState::Replay
+                                 : ClaimState::AnswerNotStored;
 }
 
 std::string
--- a/Source/Request/ClaimRecord.h
+++ b/Source/Request/ClaimRecord.h
@@ -11,7 +11,7 @@
 namespace cactusrail {
 
 /** Maximum size of a response body that is stored for retries of a key. */
-constexpr std::size_t kMaxKeptBodyBytes = 16384;
+constexpr std::size_t kMaxStoredBodyBytes = 16384;
 
 /**
  * Table row of one idempotency key of one tenant: the request that may be
@@ -29,7 +29,7 @@
   /** HTTP status of the upstream; 0 if it gave no answer. */
   std::uint16_t status_ = 0;
   std::string contentType_;
-  /** Empty if the answer was longer than kMaxKeptBodyBytes. */
+  /** Empty if the answer was longer than kMaxStoredBodyBytes. */
   std::string body_;
   /** Length of the complete body in bytes. */
   std::uint64_t bodyBytes_ = 0;
@@ -83,10 +83,10 @@
 };
 
 /** State of a claim row as seen by a request that uses its key. */
-enum class ClaimMeaning : std::uint8_t
+enum class ClaimState : std::uint8_t
 {
   /** This request wrote the row, and the answer to the write was lost. */
-  Ours,
+  OwnedByRequest,
   /** No request ran or runs with the key: it may be claimed at the row's
    * revision. */
   Free,
@@ -95,18 +95,18 @@
   /** The request ran, and its stored answer can be replayed. */
   Replay,
   /** The request ran, but its complete answer is not stored. */
-  AnswerNotKept,
+  AnswerNotStored,
   /** Another request with the same key ended with an unknown outcome. */
-  InDoubt,
+  UnknownOutcome,
   /** The key was used for a different request. */
-  OtherRequest,
+  DifferentRequest,
 };
 
 /** Classifies a row for the request with this id and fingerprint. */
-ClaimMeaning
-ReadClaim(const ClaimWriteResult& aRow,
-          std::string_view aRequestId,
-          std::string_view aFingerprint);
+ClaimState
+ClassifyClaim(const ClaimWriteResult& aRow,
+              std::string_view aRequestId,
+              std::string_view aFingerprint);
 
 /** Digest of the request; requests that differ in any part differ in it. */
 std::string
--- a/Source/Request/EntryCore.cxx
+++ b/Source/Request/EntryCore.cxx
@@ -14,8 +14,8 @@
 
 namespace {
 
-constexpr Millis kForgetPause{ 1000 };
-constexpr Millis kSilenceCheckPause{ 100 };
+constexpr Millis kForgetInterval{ 1000 };
+constexpr Millis kHeartbeatCheckInterval{ 100 };
 
 /** Effect of the end of an attempt on the statistics of its side. */
 enum class AttemptEnd : std::uint8_t
@@ -49,7 +49,7 @@
   ServiceSides::Choice choice_;
   Instant dispatchedAt_;
   /** Retry delay that is sent to the caller. */
-  Instant comeBackAt_;
+  Instant retryAt_;
   /** Sides to which an attempt was sent. */
   ServiceSides::Tried tried_;
   /** Combined verdict of the attempts that ended. */
@@ -57,7 +57,7 @@
 };
 
 /** A claimed request that was abandoned with an unknown attempt outcome. */
-struct GivenUp
+struct AbandonedRequest
 {
   std::string attemptId_;
   std::string sideId_;
@@ -72,7 +72,7 @@
   aRecord.verdict_ = aAnswer.verdict_;
   aRecord.status_ = aAnswer.status_;
   aRecord.bodyBytes_ = aAnswer.body_.size();
-  if (aAnswer.body_.size() <= kMaxKeptBodyBytes) {
+  if (aAnswer.body_.size() <= kMaxStoredBodyBytes) {
     aRecord.body_ = aAnswer.body_;
   }
   for (const auto& [name, value] : aAnswer.headers_) {
@@ -111,42 +111,44 @@
                Request& aRequest,
                const ClaimWriteResult& aRow,
                Instant aNow);
-  void OwnClaim(Actions& aActions,
-                Request& aRequest,
-                std::uint64_t aRevision,
-                Instant aNow);
-  void ClaimInDoubt(Actions& aActions,
-                    Request& aRequest,
-                    ClaimWrite aOutcome,
-                    Instant aNow);
-  void AnswerRepeat(Actions& aActions,
-                    const Request& aRequest,
-                    ClaimMeaning aMeaning,
-                    const ClaimRecord& aRecord);
+  void OnClaimAcquired(Actions& aActions,
+                       Request& aRequest,
+                       std::uint64_t aRevision,
+                       Instant aNow);
+  void RetryOrAbandonClaim(Actions& aActions,
+                           Request& aRequest,
+                           ClaimWrite aOutcome,
+                           Instant aNow);
+  void AnswerDuplicate(Actions& aActions,
+                       const Request& aRequest,
+                       ClaimState aClaimState,
+                       const ClaimRecord& aRecord);
   void WriteOutcome(Actions& aActions,
                     const Request& aRequest,
                     const ClaimRecord& aRecord,
                     Instant aNow);
-  void TakeLateAnswer(Actions& aActions,
-                      const std::string& aSideId,
-                      const AnswerMessage& aAnswer,
-                      Instant aNow);
-  void KeepInDoubt(const Request& aRequest,
-                   const ClaimRecord& aRecord,
-                   Instant aNow);
+  void HandleLateAnswer(Actions& aActions,
+                        const std::string& aSideId,
+                        const AnswerMessage& aAnswer,
+                        Instant aNow);
+  void KeepUnknownOutcome(const Request& aRequest,
+                          const ClaimRecord& aRecord,
+                          Instant aNow);
   void Dispatch(Actions& aActions, Request& aRequest, Instant aNow);
-  void RetryOrGiveUp(Actions& aActions,
-                     Request& aRequest,
-                     const std::string& aReason,
-                     Instant aNow);
-  void ForgetSilentSides(Instant aNow);
-  void LeaveSilentSides(Actions& aActions, Instant aNow);
-  void LeaveSilentSide(Actions& aActions, Request& aRequest, Instant aNow);
-  void GiveUp(Actions& aActions,
-              const std::string& aRequestId,
-              int aStatus,
-              std::string aReason,
-              Instant aNow);
+  void RetryOrAbandon(Actions& aActions,
+                      Request& aRequest,
+                      const std::string& aReason,
+                      Instant aNow);
+  void RemoveUnresponsiveSides(Instant aNow);
+  void HandleUnresponsiveSides(Actions& aActions, Instant aNow);
+  void HandleUnresponsiveSide(Actions& aActions,
+                              Request& aRequest,
+                              Instant aNow);
+  void Abandon(Actions& aActions,
+               const std::string& aRequestId,
+               int aStatus,
+               std::string aReason,
+               Instant aNow);
   void EndAttempt(Request& aRequest, AttemptEnd aEnd, Instant aNow);
   void Forget(const std::string& aRequestId, Instant aNow);
 
@@ -157,9 +159,9 @@
   std::unordered_map<std::string, ServiceSides> services_;
   /** Service of each side, from its latest heartbeat. */
   std::unordered_map<std::string, std::string> serviceOf_;
-  std::uint64_t draws_ = 0;
-  Instant nextForgetting_;
-  Instant nextSilenceCheck_;
+  std::uint64_t choiceCount_ = 0;
+  Instant nextForgetAt_;
+  Instant nextHeartbeatCheckAt_;
   std::uint64_t nextWriteId_ = 0;
   OutcomeWriter outcomes_;
   std::unordered_map<std::string, Request> requests_;
@@ -167,8 +169,8 @@
   std::set<std::pair<Instant, std::string>> deadlines_;
   /** Requests with an attempt in flight, by side. */
   std::unordered_map<std::string, std::set<std::string>> sent_;
-  std::unordered_map<std::string, GivenUp> givenUp_;
-  std::deque<std::pair<Instant, std::string>> givenUpOrder_;
+  std::unordered_map<std::string, AbandonedRequest> abandoned_;
+  std::deque<std::pair<Instant, std::string>> abandonedOrder_;
 };
 
 void
@@ -198,8 +200,10 @@
 EntryCore::Private::Choose(const Request& aRequest, Instant aNow)
 {
   return SidesOf(aRequest.facts_.service_)
-    .Choose(
-      aRequest.tried_, ++draws_ + limits_.seed_, awakeClock_.At(aNow), aNow);
+    .Choose(aRequest.tried_,
+            ++choiceCount_ + limits_.seed_,
+            awakeClock_.At(aNow),
+            aNow);
 }
 
 void
@@ -222,10 +226,10 @@
 }
 
 void
-EntryCore::Private::OwnClaim(Actions& aActions,
-                             Request& aRequest,
-                             std::uint64_t aRevision,
-                             Instant aNow)
+EntryCore::Private::OnClaimAcquired(Actions& aActions,
+                                    Request& aRequest,
+                                    std::uint64_t aRevision,
+                                    Instant aNow)
 {
   aRequest.claimRevision_ = aRevision;
   const std::string id = aRequest.facts_.requestId_;
@@ -239,10 +243,10 @@
 }
 
 void
-EntryCore::Private::ClaimInDoubt(Actions& aActions,
-                                 Request& aRequest,
-                                 ClaimWrite aOutcome,
-                                 Instant aNow)
+EntryCore::Private::RetryOrAbandonClaim(Actions& aActions,
+                                        Request& aRequest,
+                                        ClaimWrite aOutcome,
+                                        Instant aNow)
 {
   // Repeats the write: if the first one was applied, the row shows it.
   const bool again = aOutcome == ClaimWrite::Unknown &&
@@ -252,12 +256,12 @@
     Claim(aActions, aRequest, aNow);
     return;
   }
-  GiveUp(aActions,
-         std::string(aRequest.facts_.requestId_),
-         503,
-         "The table service can't be asked, so the request can't be kept from "
-         "running twice; it was not started.",
-         aNow);
+  Abandon(aActions,
+          std::string(aRequest.facts_.requestId_),
+          503,
+          "The table service can't be asked, so the request can't be kept from "
+          "running twice; it was not started.",
+          aNow);
 }
 
 void
@@ -267,13 +271,13 @@
                             Instant aNow)
 {
   const std::string id = aRequest.facts_.requestId_;
-  const ClaimMeaning meaning = ReadClaim(aRow, id, aRequest.fingerprint_);
-  if (meaning == ClaimMeaning::Ours) {
-    OwnClaim(aActions, aRequest, aRow.revision_, aNow);
+  const ClaimState claimState = ClassifyClaim(aRow, id, aRequest.fingerprint_);
+  if (claimState == ClaimState::OwnedByRequest) {
+    OnClaimAcquired(aActions, aRequest, aRow.revision_, aNow);
     return;
   }
-  if (meaning != ClaimMeaning::Free) {
-    AnswerRepeat(aActions, aRequest, meaning, aRow.record_);
+  if (claimState != ClaimState::Free) {
+    AnswerDuplicate(aActions, aRequest, claimState, aRow.record_);
     Forget(id, aNow);
     return;
   }
@@ -282,36 +286,36 @@
     Claim(aActions, aRequest, aNow);
     return;
   }
-  GiveUp(aActions,
-         id,
-         503,
-         "Several requests compete for the key; retry the request.",
-         aNow);
+  Abandon(aActions,
+          id,
+          503,
+          "Several requests compete for the key; retry the request.",
+          aNow);
 }
 
 void
-EntryCore::Private::AnswerRepeat(Actions& aActions,
-                                 const Request& aRequest,
-                                 ClaimMeaning aMeaning,
-                                 const ClaimRecord& aRecord)
+EntryCore::Private::AnswerDuplicate(Actions& aActions,
+                                    const Request& aRequest,
+                                    ClaimState aClaimState,
+                                    const ClaimRecord& aRecord)
 {
   const std::string& first = aRecord.requestId_;
   AnswerCaller answer;
   answer.requestId_ = aRequest.facts_.requestId_;
   answer.status_ = 409;
-  switch (aMeaning) {
-    case ClaimMeaning::Replay:
+  switch (aClaimState) {
+    case ClaimState::Replay:
       answer.verdict_ = Verdict::Ran;
       answer.status_ = aRecord.status_;
       answer.body_ = aRecord.body_;
       answer.headers_.emplace_back("Content-Type", aRecord.contentType_);
       break;
-    case ClaimMeaning::AnswerNotKept:
+    case ClaimState::AnswerNotStored:
       answer.verdict_ = Verdict::Ran;
       answer.reason_ = "The key was used by request " + first +
                        ", which ran; its answer was not kept.";
       break;
-    case ClaimMeaning::OtherRequest:
+    case ClaimState::DifferentRequest:
       answer.verdict_ = Verdict::DidNotRun;
       answer.status_ = 422;
       answer.reason_ = "The key was used by request " + first +
@@ -322,8 +326,8 @@
       answer.retryAfter_ = limits_.retryAfter_;
       answer.reason_ =
         "The key is used by request " + first +
-        (aMeaning == ClaimMeaning::InDoubt ? ", which may have run."
-                                           : ", which is in progress.");
+        (aClaimState == ClaimState::UnknownOutcome ? ", which may have run."
+                                                   : ", which is in progress.");
       break;
   }
   Record(aActions,
@@ -347,37 +351,37 @@
 }
 
 void
-EntryCore::Private::KeepInDoubt(const Request& aRequest,
-                                const ClaimRecord& aRecord,
-                                Instant aNow)
+EntryCore::Private::KeepUnknownOutcome(const Request& aRequest,
+                                       const ClaimRecord& aRecord,
+                                       Instant aNow)
 {
   if (aRequest.attemptId_.empty()) {
     return;
   }
   const std::string& id = aRequest.facts_.requestId_;
-  givenUp_[id] = GivenUp{
+  abandoned_[id] = AbandonedRequest{
     aRequest.attemptId_, aRequest.sideId_, aRecord, aRequest.verdict_
   };
-  givenUpOrder_.emplace_back(aNow + limits_.lateAnswers_, id);
-  if (givenUpOrder_.size() > limits_.maxRequests_) {
-    givenUp_.erase(givenUpOrder_.front().second);
-    givenUpOrder_.pop_front();
+  abandonedOrder_.emplace_back(aNow + limits_.lateAnswerTimeout_, id);
+  if (abandonedOrder_.size() > limits_.maxRequests_) {
+    abandoned_.erase(abandonedOrder_.front().second);
+    abandonedOrder_.pop_front();
   }
 }
 
 void
-EntryCore::Private::TakeLateAnswer(Actions& aActions,
-                                   const std::string& aSideId,
-                                   const AnswerMessage& aAnswer,
-                                   Instant aNow)
+EntryCore::Private::HandleLateAnswer(Actions& aActions,
+                                     const std::string& aSideId,
+                                     const AnswerMessage& aAnswer,
+                                     Instant aNow)
 {
-  const auto found = givenUp_.find(aAnswer.requestId_);
-  if (found == givenUp_.end() ||
+  const auto found = abandoned_.find(aAnswer.requestId_);
+  if (found == abandoned_.end() ||
       found->second.attemptId_ != aAnswer.attemptId_ ||
       found->second.sideId_ != aSideId) {
     return;
   }
-  const GivenUp& request = found->second;
+  const AbandonedRequest& request = found->second;
   ClaimRecord record = AnswerRecord(request.record_, aAnswer);
   record.verdict_ = CombineVerdicts(request.earlier_, aAnswer.verdict_);
   if (record.verdict_ == Verdict::MayHaveRun) {
@@ -396,18 +400,18 @@
   // After a stall of the entry, the table's answer can arrive when the caller's
   // deadline has passed.
   if (aRequest.facts_.deadline_ <= aNow) {
-    GiveUp(aActions, requestId, 504, "The deadline passed.", aNow);
+    Abandon(aActions, requestId, 504, "The deadline passed.", aNow);
     return;
   }
   const std::optional<ServiceSides::Choice> side = Choose(aRequest, aNow);
   if (!side.has_value()) {
-    GiveUp(aActions,
-           requestId,
-           503,
-           aRequest.attempts_ == 0
-             ? "No upstream of the service is there just now."
-             : "No further upstream of the service is there to try.",
-           aNow);
+    Abandon(aActions,
+            requestId,
+            503,
+            aRequest.attempts_ == 0
+              ? "No upstream of the service is there just now."
+              : "No further upstream of the service is there to try.",
+            aNow);
     return;
   }
   ++aRequest.attempts_;
@@ -477,11 +481,11 @@
 }
 
 void
-EntryCore::Private::GiveUp(Actions& aActions,
-                           const std::string& aRequestId,
-                           int aStatus,
-                           std::string aReason,
-                           Instant aNow)
+EntryCore::Private::Abandon(Actions& aActions,
+                            const std::string& aRequestId,
+                            int aStatus,
+                            std::string aReason,
+                            Instant aNow)
 {
   const Request& request = requests_.at(aRequestId);
   Verdict verdict = request.verdict_;
@@ -500,7 +504,7 @@
     record.finished_ = true;
     record.verdict_ = verdict;
     WriteOutcome(aActions, request, record, aNow);
-    KeepInDoubt(request, record, aNow);
+    KeepUnknownOutcome(request, record, aNow);
   }
   Record(aActions,
          aRequestId,
@@ -514,16 +518,16 @@
   answer.status_ = aStatus;
   answer.reason_ = std::move(aReason);
   answer.retryAfter_ = std::max(
-    limits_.retryAfter_, std::chrono::ceil<Millis>(request.comeBackAt_ - aNow));
+    limits_.retryAfter_, std::chrono::ceil<Millis>(request.retryAt_ - aNow));
   aActions.emplace_back(std::move(answer));
   Forget(aRequestId, aNow);
 }
 
 void
-EntryCore::Private::RetryOrGiveUp(Actions& aActions,
-                                  Request& aRequest,
-                                  const std::string& aReason,
-                                  Instant aNow)
+EntryCore::Private::RetryOrAbandon(Actions& aActions,
+                                   Request& aRequest,
+                                   const std::string& aReason,
+                                   Instant aNow)
 {
   const bool mayRunAgain =
     aRequest.facts_.idempotent_ || aRequest.verdict_ == Verdict::DidNotRun;
@@ -535,17 +539,17 @@
       Dispatch(aActions, aRequest, aNow);
       return;
     }
-    aRequest.comeBackAt_ = budget.NextAt(aNow);
+    aRequest.retryAt_ = budget.NextAt(aNow);
   }
   const int status = aRequest.verdict_ == Verdict::DidNotRun ? 503 : 502;
-  GiveUp(
+  Abandon(
     aActions, std::string(aRequest.facts_.requestId_), status, aReason, aNow);
 }
 
 void
-EntryCore::Private::LeaveSilentSide(Actions& aActions,
-                                    Request& aRequest,
-                                    Instant aNow)
+EntryCore::Private::HandleUnresponsiveSide(Actions& aActions,
+                                           Request& aRequest,
+                                           Instant aNow)
 {
   const bool mayMove = aRequest.facts_.idempotent_ &&
                        aRequest.attempts_ < limits_.maxAttempts_ &&
@@ -569,12 +573,12 @@
 }
 
 void
-EntryCore::Private::ForgetSilentSides(Instant aNow)
+EntryCore::Private::RemoveUnresponsiveSides(Instant aNow)
 {
-  if (aNow < nextForgetting_) {
+  if (aNow < nextForgetAt_) {
     return;
   }
-  nextForgetting_ = aNow + kForgetPause;
+  nextForgetAt_ = aNow + kForgetInterval;
   for (const std::string& id : membership_.Forget(awakeClock_.At(aNow))) {
     SidesOf(serviceOf_[id]).Remove(id);
     serviceOf_.erase(id);
@@ -582,12 +586,12 @@
 }
 
 void
-EntryCore::Private::LeaveSilentSides(Actions& aActions, Instant aNow)
+EntryCore::Private::HandleUnresponsiveSides(Actions& aActions, Instant aNow)
 {
-  if (aNow < nextSilenceCheck_) {
+  if (aNow < nextHeartbeatCheckAt_) {
     return;
   }
-  nextSilenceCheck_ = aNow + kSilenceCheckPause;
+  nextHeartbeatCheckAt_ = aNow + kHeartbeatCheckInterval;
   // The connection of a frozen side stays open for minutes. Its attempts would
   // wait until their deadlines although another side has free capacity.
   std::set<std::string> waiting;
@@ -597,7 +601,7 @@
     }
   }
   for (const std::string& id : waiting) {
-    LeaveSilentSide(aActions, requests_.at(id), aNow);
+    HandleUnresponsiveSide(aActions, requests_.at(id), aNow);
   }
 }
 
@@ -652,17 +656,17 @@
   request.facts_ = aRequest;
   self.deadlines_.emplace(aRequest.deadline_, id);
   if (full) {
-    self.GiveUp(actions,
-                id,
-                503,
-                "This entry has too many open requests; retry later.",
-                aNow);
+    self.Abandon(actions,
+                 id,
+                 503,
+                 "This entry has too many open requests; retry later.",
+                 aNow);
     return actions;
   }
   ServiceSides& sides = self.SidesOf(aRequest.service_);
   sides.Budget().OnRequest(aNow);
   if (!sides.AnyUsable(self.awakeClock_.At(aNow))) {
-    self.GiveUp(
+    self.Abandon(
       actions, id, 503, "No upstream of the service is there just now.", aNow);
     return actions;
   }
@@ -700,13 +704,13 @@
   request.claimWrite_ = 0;
   switch (aResult.outcome_) {
     case ClaimWrite::Applied:
-      self.OwnClaim(actions, request, aResult.revision_, aNow);
+      self.OnClaimAcquired(actions, request, aResult.revision_, aNow);
       break;
     case ClaimWrite::Refused:
       self.ReadRow(actions, request, aResult, aNow);
       break;
     default:
-      self.ClaimInDoubt(actions, request, aResult.outcome_, aNow);
+      self.RetryOrAbandonClaim(actions, request, aResult.outcome_, aNow);
       break;
   }
   return actions;
@@ -732,7 +736,7 @@
                 aAnswer.verdict_ == Verdict::Ran,
                 "from side/" + aSideId,
                 aAnswer.attemptId_);
-    self.TakeLateAnswer(actions, aSideId, aAnswer, aNow);
+    self.HandleLateAnswer(actions, aSideId, aAnswer, aNow);
     return actions;
   }
   Request& request = found->second;
@@ -746,7 +750,7 @@
                 aAnswer.reason_,
                 aAnswer.attemptId_);
     self.EndAttempt(request, AttemptEnd::Failed, aNow);
-    self.RetryOrGiveUp(actions, request, aAnswer.reason_, aNow);
+    self.RetryOrAbandon(actions, request, aAnswer.reason_, aNow);
     return actions;
   }
   self.Record(actions,
@@ -800,10 +804,10 @@
                 "on side/" + aSideId,
                 request.attemptId_);
     self.EndAttempt(request, AttemptEnd::Failed, aNow);
-    self.RetryOrGiveUp(actions,
-                       request,
-                       "The connection to the upstream's side was lost.",
-                       aNow);
+    self.RetryOrAbandon(actions,
+                        request,
+                        "The connection to the upstream's side was lost.",
+                        aNow);
   }
   return actions;
 }
@@ -813,7 +817,7 @@
 {
   std::vector<EntryAction> actions;
   if (private_->requests_.contains(aRequestId)) {
-    private_->GiveUp(actions, aRequestId, 499, "The caller hung up.", aNow);
+    private_->Abandon(actions, aRequestId, 499, "The caller hung up.", aNow);
   }
   return actions;
 }
@@ -826,14 +830,14 @@
   self.awakeClock_.OnTick(aNow);
   while (!self.deadlines_.empty() && self.deadlines_.begin()->first <= aNow) {
     const std::string id = self.deadlines_.begin()->second;
-    self.GiveUp(actions, id, 504, "The deadline passed.", aNow);
+    self.Abandon(actions, id, 504, "The deadline passed.", aNow);
   }
-  self.LeaveSilentSides(actions, aNow);
-  self.ForgetSilentSides(aNow);
-  while (!self.givenUpOrder_.empty() &&
-         self.givenUpOrder_.front().first <= aNow) {
-    self.givenUp_.erase(self.givenUpOrder_.front().second);
-    self.givenUpOrder_.pop_front();
+  self.HandleUnresponsiveSides(actions, aNow);
+  self.RemoveUnresponsiveSides(aNow);
+  while (!self.abandonedOrder_.empty() &&
+         self.abandonedOrder_.front().first <= aNow) {
+    self.abandoned_.erase(self.abandonedOrder_.front().second);
+    self.abandonedOrder_.pop_front();
   }
   for (WriteClaim& write : self.outcomes_.OnTick(aNow)) {
     actions.emplace_back(std::move(write));
@@ -848,7 +852,7 @@
   Private& self = *private_;
   while (!self.deadlines_.empty()) {
     const std::string id = self.deadlines_.begin()->second;
-    self.GiveUp(actions, id, 503, "The entry's planned stop ended.", aNow);
+    self.Abandon(actions, id, 503, "The entry's planned stop ended.", aNow);
   }
   return actions;
 }
--- a/Source/Request/EntryCore.h
+++ b/Source/Request/EntryCore.h
@@ -93,7 +93,7 @@
     /** Maximum number of claim writes per request. */
     std::size_t maxClaimWrites_ = 4;
     /** Time for which the late answer to an abandoned attempt is accepted. */
-    Millis lateAnswers_{ 60000 };
+    Millis lateAnswerTimeout_{ 60000 };
     /** Seed of the side selection. It differs between lanes, so that they
      * don't all choose the same side. */
     std::uint64_t seed_ = 0;
--- a/Source/Request/OutcomeWriter.cxx
+++ b/Source/Request/OutcomeWriter.cxx
@@ -9,7 +9,7 @@
 }
 
 WriteClaim
-OutcomeWriter::Try(Outcome& aOutcome, Instant aNow)
+OutcomeWriter::StartWrite(Outcome& aOutcome, Instant aNow)
 {
   WriteClaim write;
   write.requestId_ = aOutcome.record_.requestId_;
@@ -24,18 +24,18 @@
   write.deadline_ = aNow + limits_.writeTimeout_;
   aOutcome.writeId_ = write.writeId_;
   aOutcome.inFlight_ = aOutcome.record_;
-  tries_.erase({ aOutcome.nextTry_, write.requestId_ });
+  retries_.erase({ aOutcome.nextWriteAt_, write.requestId_ });
   return write;
 }
 
 void
-OutcomeWriter::Pause(const std::string& aRequestId,
-                     Outcome& aOutcome,
-                     Instant aNow)
+OutcomeWriter::ScheduleRetry(const std::string& aRequestId,
+                             Outcome& aOutcome,
+                             Instant aNow)
 {
   aOutcome.writeId_ = 0;
-  aOutcome.nextTry_ = aNow + limits_.pause_;
-  tries_.emplace(aOutcome.nextTry_, aRequestId);
+  aOutcome.nextWriteAt_ = aNow + limits_.retryInterval_;
+  retries_.emplace(aOutcome.nextWriteAt_, aRequestId);
 }
 
 void
@@ -57,8 +57,8 @@
     return;
   }
   unwritten_ -= found->second.written_ ? 0 : 1;
-  tries_.erase({ found->second.nextTry_, aRequestId });
-  ages_.erase({ found->second.forgetAt_, aRequestId });
+  retries_.erase({ found->second.nextWriteAt_, aRequestId });
+  expiries_.erase({ found->second.expiresAt_, aRequestId });
   outcomes_.erase(found);
 }
 
@@ -68,15 +68,15 @@
                    Instant aNow)
 {
   if (outcomes_.size() >= limits_.maxOutcomes_) {
-    Forget(std::string(ages_.begin()->second));
+    Forget(std::string(expiries_.begin()->second));
   }
   Outcome& outcome = outcomes_[aRecord.requestId_];
   outcome.claim_ = aClaim;
   outcome.record_ = aRecord;
-  outcome.forgetAt_ = aNow + limits_.life_;
-  ages_.emplace(outcome.forgetAt_, aRecord.requestId_);
+  outcome.expiresAt_ = aNow + limits_.lifetime_;
+  expiries_.emplace(outcome.expiresAt_, aRecord.requestId_);
   ++unwritten_;
-  return Try(outcome, aNow);
+  return StartWrite(outcome, aNow);
 }
 
 std::optional<WriteClaim>
@@ -94,7 +94,7 @@
   if (outcome.writeId_ != 0) {
     return std::nullopt;
   }
-  return Try(outcome, aNow);
+  return StartWrite(outcome, aNow);
 }
 
 std::optional<WriteClaim>
@@ -110,7 +110,7 @@
   Outcome& outcome = found->second;
   if (aResult.outcome_ == ClaimWrite::NotWritten ||
       aResult.outcome_ == ClaimWrite::Unknown) {
-    Pause(aRequestId, outcome, aNow);
+    ScheduleRetry(aRequestId, outcome, aNow);
     return std::nullopt;
   }
   const bool applied = aResult.outcome_ == ClaimWrite::Applied;
@@ -126,19 +126,19 @@
     MarkWritten(aRequestId, outcome);
     return std::nullopt;
   }
-  return Try(outcome, aNow);
+  return StartWrite(outcome, aNow);
 }
 
 std::vector<WriteClaim>
 OutcomeWriter::OnTick(Instant aNow)
 {
-  while (!ages_.empty() && ages_.begin()->first <= aNow) {
-    Forget(std::string(ages_.begin()->second));
+  while (!expiries_.empty() && expiries_.begin()->first <= aNow) {
+    Forget(std::string(expiries_.begin()->second));
   }
   std::vector<WriteClaim> writes;
-  while (!tries_.empty() && tries_.begin()->first <= aNow) {
-    const std::string id = tries_.begin()->second;
-    writes.push_back(Try(outcomes_.at(id), aNow));
+  while (!retries_.empty() && retries_.begin()->first <= aNow) {
+    const std::string id = retries_.begin()->second;
+    writes.push_back(StartWrite(outcomes_.at(id), aNow));
     writes.back().alone_ = true;
   }
   return writes;
--- a/Source/Request/OutcomeWriter.h
+++ b/Source/Request/OutcomeWriter.h
@@ -32,8 +32,8 @@
 /**
  * Stores the outcomes of claimed requests and retries each write until the
  * table service has it, because a lost outcome blocks its key permanently. An
- * unknown outcome can be amended until life_ ends. Performs no I/O; owned by an
- * EntryCore.
+ * unknown outcome can be amended until lifetime_ ends. Performs no I/O; owned
+ * by an EntryCore.
  */
 class OutcomeWriter
 {
@@ -44,11 +44,11 @@
      * stays claimed. */
     std::size_t maxOutcomes_ = 4096;
     /** Delay between two attempts to write an outcome. */
-    Millis pause_{ 500 };
+    Millis retryInterval_{ 500 };
     Millis writeTimeout_{ 1000 };
     /** Time for which writes are retried and unknown outcomes can be amended.
      */
-    Millis life_{ 120000 };
+    Millis lifetime_{ 120000 };
   };
 
   /** The claim of a completed request. */
@@ -90,20 +90,22 @@
     ClaimRecord inFlight_;
     std::uint64_t writeId_ = 0;
     bool written_ = false;
-    Instant nextTry_;
-    Instant forgetAt_;
+    Instant nextWriteAt_;
+    Instant expiresAt_;
   };
 
-  WriteClaim Try(Outcome& aOutcome, Instant aNow);
-  void Pause(const std::string& aRequestId, Outcome& aOutcome, Instant aNow);
+  WriteClaim StartWrite(Outcome& aOutcome, Instant aNow);
+  void ScheduleRetry(const std::string& aRequestId,
+                     Outcome& aOutcome,
+                     Instant aNow);
   void MarkWritten(const std::string& aRequestId, Outcome& aOutcome);
   void Forget(const std::string& aRequestId);
 
   Limits limits_;
   std::uint64_t& nextWriteId_;
   std::map<std::string, Outcome> outcomes_;
-  std::set<std::pair<Instant, std::string>> tries_;
-  std::set<std::pair<Instant, std::string>> ages_;
+  std::set<std::pair<Instant, std::string>> retries_;
+  std::set<std::pair<Instant, std::string>> expiries_;
   std::size_t unwritten_ = 0;
 };
 
--- a/Source/Request/OutlierTracker.cxx
+++ b/Source/Request/OutlierTracker.cxx
@@ -38,25 +38,26 @@
 {
   Entry& entry = entries_[aRunner];
   known_ -= entry.known_ ? 1 : 0;
-  setAside_ -= entry.setAside_ ? 1 : 0;
+  ejected_ -= entry.ejected_ ? 1 : 0;
   entry = Entry{};
 }
 
 void
-OutlierTracker::SetAside(Entry& aEntry, Instant aNow)
+OutlierTracker::Eject(Entry& aEntry, Instant aNow)
 {
-  if (!aEntry.setAside_) {
+  if (!aEntry.ejected_) {
     // A fleet that is slow as a whole needs all of its runners.
-    const double limit = rules_.maxSetAsidePart_ * static_cast<double>(known_);
-    if (static_cast<double>(setAside_ + 1) > limit) {
+    const double limit =
+      rules_.maxEjectedFraction_ * static_cast<double>(known_);
+    if (static_cast<double>(ejected_ + 1) > limit) {
       return;
     }
-    ++setAside_;
-    aEntry.setAside_ = true;
+    ++ejected_;
+    aEntry.ejected_ = true;
   }
-  aEntry.pause_ =
-    std::clamp(aEntry.pause_ * 2, rules_.firstPause_, rules_.longestPause_);
-  aEntry.probeAt_ = aNow + aEntry.pause_;
+  aEntry.ejection_ = std::clamp(
+    aEntry.ejection_ * 2, rules_.firstEjection_, rules_.maxEjection_);
+  aEntry.probeAt_ = aNow + aEntry.ejection_;
   aEntry.probing_ = false;
   aEntry.samples_ = 0;
   aEntry.meanMicros_ = 0;
@@ -68,18 +69,18 @@
   Entry& entry = entries_[aRunner];
   const auto micros = static_cast<double>(aLatency.count());
   entry.failures_ = 0;
-  if (entry.setAside_) {
+  if (entry.ejected_) {
     // Answers to requests sent before the ejection don't count as probes.
     if (!entry.probing_) {
       return;
     }
     entry.probing_ = false;
     if (fleetMicros_ > 0 && micros > rules_.latencyRatio_ * fleetMicros_) {
-      SetAside(entry, aNow);
+      Eject(entry, aNow);
       return;
     }
-    entry.setAside_ = false;
-    --setAside_;
+    entry.ejected_ = false;
+    --ejected_;
     entry.samples_ = 0;
     entry.meanMicros_ = 0;
     return;
@@ -89,7 +90,7 @@
   ++entry.samples_;
   if (entry.samples_ >= rules_.minSamples_ &&
       entry.meanMicros_ > rules_.latencyRatio_ * fleetMicros_) {
-    SetAside(entry, aNow);
+    Eject(entry, aNow);
   }
 }
 
@@ -98,8 +99,8 @@
 {
   Entry& entry = entries_[aRunner];
   ++entry.failures_;
-  if (entry.setAside_ || entry.failures_ >= rules_.failuresInARow_) {
-    SetAside(entry, aNow);
+  if (entry.ejected_ || entry.failures_ >= rules_.consecutiveFailures_) {
+    Eject(entry, aNow);
   }
 }
 
@@ -107,25 +108,25 @@
 OutlierTracker::OnSent(std::size_t aRunner, Instant aNow)
 {
   Entry& entry = entries_[aRunner];
-  if (entry.setAside_ && entry.probeAt_ <= aNow) {
+  if (entry.ejected_ && entry.probeAt_ <= aNow) {
     // Sends one probe per ejection period, so that a runner that never answers
     // receives few requests.
-    entry.probeAt_ = aNow + entry.pause_;
+    entry.probeAt_ = aNow + entry.ejection_;
     entry.probing_ = true;
   }
 }
 
 bool
-OutlierTracker::MayUse(std::size_t aRunner, Instant aNow) const
+OutlierTracker::AcceptsRequest(std::size_t aRunner, Instant aNow) const
 {
   const Entry& entry = entries_[aRunner];
-  return entry.known_ && (!entry.setAside_ || entry.probeAt_ <= aNow);
+  return entry.known_ && (!entry.ejected_ || entry.probeAt_ <= aNow);
 }
 
 bool
-OutlierTracker::IsSetAside(std::size_t aRunner) const
+OutlierTracker::IsEjected(std::size_t aRunner) const
 {
-  return entries_[aRunner].setAside_;
+  return entries_[aRunner].ejected_;
 }
 
 }
--- a/Source/Request/OutlierTracker.h
+++ b/Source/Request/OutlierTracker.h
@@ -19,13 +19,13 @@
 public:
   struct Rules
   {
-    std::uint32_t failuresInARow_ = 5;
+    std::uint32_t consecutiveFailures_ = 5;
     /** Ratio of an outlier's mean latency to the fleet's mean latency. */
     double latencyRatio_ = 2.5;
     std::uint32_t minSamples_ = 20;
-    double maxSetAsidePart_ = 0.3;
-    Millis firstPause_{ 1000 };
-    Millis longestPause_{ 30000 };
+    double maxEjectedFraction_ = 0.3;
+    Millis firstEjection_{ 1000 };
+    Millis maxEjection_{ 30000 };
   };
 
   explicit OutlierTracker(const Rules& aRules);
@@ -39,31 +39,31 @@
   void OnSent(std::size_t aRunner, Instant aNow);
 
   /** Whether the runner may get a request now, including a probe. */
-  bool MayUse(std::size_t aRunner, Instant aNow) const;
+  bool AcceptsRequest(std::size_t aRunner, Instant aNow) const;
 
   /** Whether the runner is ejected, including while it is probed. */
-  bool IsSetAside(std::size_t aRunner) const;
+  bool IsEjected(std::size_t aRunner) const;
 
 private:
   struct Entry
   {
     bool known_ = false;
-    bool setAside_ = false;
+    bool ejected_ = false;
     bool probing_ = false;
     std::uint32_t failures_ = 0;
     std::uint32_t samples_ = 0;
     double meanMicros_ = 0;
-    Millis pause_{ 0 };
+    Millis ejection_{ 0 };
     /** Earliest time of the next probe. */
     Instant probeAt_;
   };
 
-  void SetAside(Entry& aEntry, Instant aNow);
+  void Eject(Entry& aEntry, Instant aNow);
 
   Rules rules_;
   std::vector<Entry> entries_;
   std::size_t known_ = 0;
-  std::size_t setAside_ = 0;
+  std::size_t ejected_ = 0;
   /** Moving average of the latency of runners that are not ejected. */
   double fleetMicros_ = 0;
 };
--- a/Source/Request/RetryBudget.cxx
+++ b/Source/Request/RetryBudget.cxx
@@ -7,7 +7,7 @@
 
 RetryBudget::RetryBudget(const Rules& aRules)
   : rules_(aRules)
-  , tokens_(aRules.most_ / 2)
+  , tokens_(aRules.maxTokens_ / 2)
 {
 }
 
@@ -19,7 +19,7 @@
   }
   const double seconds =
     std::chrono::duration<double>(aNow - refilledAt_).count();
-  tokens_ = std::min(rules_.most_, tokens_ + seconds * rules_.perSecond_);
+  tokens_ = std::min(rules_.maxTokens_, tokens_ + seconds * rules_.perSecond_);
   refilledAt_ = aNow;
 }
 
@@ -27,7 +27,7 @@
 RetryBudget::OnRequest(Instant aNow)
 {
   Refill(aNow);
-  tokens_ = std::min(rules_.most_, tokens_ + rules_.perRequest_);
+  tokens_ = std::min(rules_.maxTokens_, tokens_ + rules_.perRequest_);
 }
 
 bool
--- a/Source/Request/RetryBudget.h
+++ b/Source/Request/RetryBudget.h
@@ -21,7 +21,7 @@
     /** Retries added per second, so that a service with few requests can retry.
      */
     double perSecond_ = 2;
-    double most_ = 20;
+    double maxTokens_ = 20;
   };
 
   explicit RetryBudget(const Rules& aRules);
--- a/Source/Request/Routing.cxx
+++ b/Source/Request/Routing.cxx
@@ -117,7 +117,9 @@
   const double wait = std::max(0.0, load + 1 - aState.slots_) / aState.slots_;
   const double used = (load + 1) / aState.slots_;
   const double crossing =
-    aState.sameDataCentre_ ? 0 : static_cast<double>(rules_.crossing_.count());
+    aState.sameDataCentre_
+      ? 0
+      : static_cast<double>(rules_.crossDataCentreCost_.count());
   // A new runner is assumed to be as slow as the fleet. If it were assumed to
   // be faster, it would get every request until its first answers.
   const double latency =
@@ -220,16 +222,16 @@
   // usable.
   const std::size_t start = aRandom == 0 ? 0 : NextDraw(draws) % count;
   for (std::size_t step = 0; step < count; ++step) {
-    const std::size_t index = drawn < self.rules_.drawn_ && count > 16
+    const std::size_t index = drawn < self.rules_.sampleSize_ && count > 16
                                 ? NextDraw(draws) % count
                                 : (start + step) % count;
     const Runner runner = self.present_[index];
     const bool excluded =
       std::find(aExcluded.begin(), aExcluded.end(), runner) != aExcluded.end();
-    if (excluded || !self.outliers_.MayUse(runner, aNow)) {
+    if (excluded || !self.outliers_.AcceptsRequest(runner, aNow)) {
       continue;
     }
-    if (self.outliers_.IsSetAside(runner)) {
+    if (self.outliers_.IsEjected(runner)) {
       // A probe is due, and this request becomes the probe.
       return runner;
     }
@@ -240,7 +242,7 @@
       best = runner;
       bestCost = cost;
     }
-    if (++drawn >= self.rules_.drawn_) {
+    if (++drawn >= self.rules_.sampleSize_) {
       break;
     }
   }
--- a/Source/Request/Routing.h
+++ b/Source/Request/Routing.h
@@ -35,9 +35,9 @@
   struct Rules
   {
     /** Number of runners that are sampled and compared in one choice. */
-    std::size_t drawn_ = 4;
+    std::size_t sampleSize_ = 4;
     /** Round-trip cost of a runner in another data centre. */
-    Micros crossing_{ 2000 };
+    Micros crossDataCentreCost_{ 2000 };
     /** Assumed mean latency of the fleet before the first answer. */
     Micros expectedLatency_{ 20000 };
   };
--- a/Source/Request/ServiceSides.cxx
+++ b/Source/Request/ServiceSides.cxx
@@ -89,7 +89,7 @@
 }
 
 bool
-ServiceSides::Knows(const Choice& aChoice) const
+ServiceSides::IsCurrent(const Choice& aChoice) const
 {
   // A side that left and returned has another runner, or the same index with no
   // attempt sent to it yet.
@@ -101,7 +101,7 @@
 void
 ServiceSides::OnSent(const Choice& aChoice, Instant aNow)
 {
-  if (Knows(aChoice)) {
+  if (IsCurrent(aChoice)) {
     router_.OnSent(aChoice.runner_, aNow);
   }
 }
@@ -109,7 +109,7 @@
 void
 ServiceSides::OnAnswer(const Choice& aChoice, Micros aLatency, Instant aNow)
 {
-  if (Knows(aChoice)) {
+  if (IsCurrent(aChoice)) {
     router_.OnAnswer(aChoice.runner_, aLatency, aNow);
   }
 }
@@ -117,7 +117,7 @@
 void
 ServiceSides::OnFailure(const Choice& aChoice, Instant aNow)
 {
-  if (Knows(aChoice)) {
+  if (IsCurrent(aChoice)) {
     router_.OnFailure(aChoice.runner_, aNow);
   }
 }
@@ -125,7 +125,7 @@
 void
 ServiceSides::OnCancelled(const Choice& aChoice, Instant aNow)
 {
-  if (Knows(aChoice)) {
+  if (IsCurrent(aChoice)) {
     router_.OnCancelled(aChoice.runner_, aNow);
   }
 }
--- a/Source/Request/ServiceSides.h
+++ b/Source/Request/ServiceSides.h
@@ -71,7 +71,7 @@
     Instant usableUntil_;
   };
 
-  bool Knows(const Choice& aChoice) const;
+  bool IsCurrent(const Choice& aChoice) const;
 
   std::string dataCentre_;
   Router router_;
--- a/Source/Request/SideCore.cxx
+++ b/Source/Request/SideCore.cxx
@@ -13,10 +13,10 @@
 namespace {
 
 /** Time for which attempt ids are stored after their deadline. */
-constexpr Millis kRememberAttempts{ 60000 };
+constexpr Millis kAttemptIdLifetime{ 60000 };
 
 /** Weight of the newest answer in the estimated service time. */
-constexpr double kLearnService = 0.1;
+constexpr double kServiceTimeSmoothing = 0.1;
 
 /** Maximum remaining time to a deadline: one day. Longer times are clamped. */
 constexpr std::uint64_t kMaxRemainingMicros = 86400000000;
@@ -37,7 +37,7 @@
   Instant arrivedAt_;
   Instant startedAt_;
   /** Position in the queue; 0 once the attempt runs. */
-  std::uint64_t turn_ = 0;
+  std::uint64_t queuePosition_ = 0;
 };
 
 Micros
@@ -71,8 +71,8 @@
               const DispatchMessage& aDispatch,
               std::string aReason,
               Millis aRetryAfter) const;
-  void Remember(const std::string& aAttemptId, Instant aForgetAt);
-  bool IsPast(std::uint64_t aIncarnation) const;
+  void StoreAttemptId(const std::string& aAttemptId, Instant aForgetAt);
+  bool HasEnded(std::uint64_t aIncarnation) const;
   void EndIncarnation(std::uint64_t aIncarnation);
   std::string ReasonToRefuse(const DispatchMessage& aDispatch,
                              Instant aNow) const;
@@ -81,9 +81,9 @@
   void RefuseQueued(Actions& aActions, const std::string& aReason);
   void DropQueued(const std::string& aAttemptId);
   void LeaveQueue(const Attempt& aAttempt);
-  void LearnService(Micros aTook);
+  void UpdateServiceTime(Micros aTook);
   void Finish(Actions& aActions, AnswerMessage aAnswer, Instant aNow);
-  void ForgetOld(Instant aNow);
+  void RemoveExpiredIds(Instant aNow);
   Micros ExpectedWait(Instant aNow) const;
   Millis RetryAfter(const DispatchMessage& aDispatch, Instant aNow) const;
 
@@ -103,10 +103,10 @@
   double serviceMicros_;
   std::size_t running_ = 0;
   /** Accepted and refused attempt ids, with their expiry times. */
-  std::unordered_set<std::string> taken_;
-  std::set<std::pair<Instant, std::string>> takenOrder_;
+  std::unordered_set<std::string> seenAttempts_;
+  std::set<std::pair<Instant, std::string>> seenAttemptsOrder_;
   /** Upstream incarnations that left or were replaced. */
-  std::deque<std::uint64_t> past_;
+  std::deque<std::uint64_t> endedIncarnations_;
 };
 
 void
@@ -150,27 +150,30 @@
 }
 
 void
-SideCore::Private::Remember(const std::string& aAttemptId, Instant aForgetAt)
+SideCore::Private::StoreAttemptId(const std::string& aAttemptId,
+                                  Instant aForgetAt)
 {
-  taken_.insert(aAttemptId);
-  takenOrder_.emplace(aForgetAt, aAttemptId);
+  seenAttempts_.insert(aAttemptId);
+  seenAttemptsOrder_.emplace(aForgetAt, aAttemptId);
 }
 
 bool
-SideCore::Private::IsPast(std::uint64_t aIncarnation) const
+SideCore::Private::HasEnded(std::uint64_t aIncarnation) const
 {
-  return std::find(past_.begin(), past_.end(), aIncarnation) != past_.end();
+  return std::find(endedIncarnations_.begin(),
+                   endedIncarnations_.end(),
+                   aIncarnation) != endedIncarnations_.end();
 }
 
 void
 SideCore::Private::EndIncarnation(std::uint64_t aIncarnation)
 {
-  if (IsPast(aIncarnation)) {
+  if (HasEnded(aIncarnation)) {
     return;
   }
-  past_.push_back(aIncarnation);
-  if (past_.size() > limits_.maxPastIncarnations_) {
-    past_.pop_front();
+  endedIncarnations_.push_back(aIncarnation);
+  if (endedIncarnations_.size() > limits_.maxEndedIncarnations_) {
+    endedIncarnations_.pop_front();
   }
 }
 
@@ -309,15 +312,15 @@
 void
 SideCore::Private::LeaveQueue(const Attempt& aAttempt)
 {
-  queue_.erase(aAttempt.turn_);
+  queue_.erase(aAttempt.queuePosition_);
   queuedBytes_ -= aAttempt.dispatch_.body_.size();
 }
 
 void
-SideCore::Private::LearnService(Micros aTook)
+SideCore::Private::UpdateServiceTime(Micros aTook)
 {
-  serviceMicros_ +=
-    kLearnService * (static_cast<double>(aTook.count()) - serviceMicros_);
+  serviceMicros_ += kServiceTimeSmoothing *
+                    (static_cast<double>(aTook.count()) - serviceMicros_);
 }
 
 void
@@ -336,7 +339,7 @@
   aAnswer.servedMicros_ =
     static_cast<std::uint64_t>((aNow - attempt.startedAt_).count());
   if (aAnswer.verdict_ == Verdict::Ran) {
-    LearnService(aNow - attempt.startedAt_);
+    UpdateServiceTime(aNow - attempt.startedAt_);
   }
   const std::string detail = aAnswer.status_ != 0
                                ? "status " + std::to_string(aAnswer.status_)
@@ -357,11 +360,12 @@
 }
 
 void
-SideCore::Private::ForgetOld(Instant aNow)
+SideCore::Private::RemoveExpiredIds(Instant aNow)
 {
-  while (!takenOrder_.empty() && takenOrder_.begin()->first <= aNow) {
-    taken_.erase(takenOrder_.begin()->second);
-    takenOrder_.erase(takenOrder_.begin());
+  while (!seenAttemptsOrder_.empty() &&
+         seenAttemptsOrder_.begin()->first <= aNow) {
+    seenAttempts_.erase(seenAttemptsOrder_.begin()->second);
+    seenAttemptsOrder_.erase(seenAttemptsOrder_.begin());
   }
 }
 
@@ -380,7 +384,7 @@
   // An announcement that was in flight when the upstream sent its goodbye, or
   // one from an old upstream that was frozen, must not reopen a leaving
   // upstream.
-  if (self.IsPast(aAnnouncement.incarnation_)) {
+  if (self.HasEnded(aAnnouncement.incarnation_)) {
     return actions;
   }
   const bool restarted =
@@ -425,13 +429,13 @@
   Private& self = *private_;
   // A duplicate dispatch must not run twice. It gets no answer, because "did
   // not run" would be false if the first copy runs.
-  if (self.taken_.contains(aDispatch.attemptId_)) {
+  if (self.seenAttempts_.contains(aDispatch.attemptId_)) {
     return actions;
   }
   std::string reason = self.ReasonToRefuse(aDispatch, aNow);
   const Instant deadline = aNow + TimeLeft(aDispatch);
   // Stores refused attempts too: a duplicate of one must not run.
-  self.Remember(aDispatch.attemptId_, deadline + kRememberAttempts);
+  self.StoreAttemptId(aDispatch.attemptId_, deadline + kAttemptIdLifetime);
   if (!reason.empty()) {
     self.Refuse(actions,
                 aLink,
@@ -445,8 +449,8 @@
   attempt.dispatch_ = aDispatch;
   attempt.deadline_ = deadline;
   attempt.arrivedAt_ = aNow;
-  attempt.turn_ = self.nextTurn_++;
-  self.queue_.emplace(attempt.turn_, aDispatch.attemptId_);
+  attempt.queuePosition_ = self.nextTurn_++;
+  self.queue_.emplace(attempt.queuePosition_, aDispatch.attemptId_);
   self.queuedBytes_ += aDispatch.body_.size();
   self.attempts_.emplace(aDispatch.attemptId_, std::move(attempt));
   self.StartQueued(actions, aNow);
@@ -586,7 +590,7 @@
                 self.limits_.retryAfter_);
     self.DropQueued(attemptId);
   }
-  self.ForgetOld(aNow);
+  self.RemoveExpiredIds(aNow);
   return actions;
 }
 
--- a/Source/Request/SideCore.h
+++ b/Source/Request/SideCore.h
@@ -79,7 +79,7 @@
     /** Assumed service time at the upstream until answers are measured. */
     Micros expectedService_{ 20000 };
     /** Maximum number of ended upstream incarnations that are stored. */
-    std::size_t maxPastIncarnations_ = 64;
+    std::size_t maxEndedIncarnations_ = 64;
     /** Time past its deadline for which the call of an at-most-once request
      * stays open. */
     Millis outcomeGrace_{ 10000 };
--- a/Tests/Golden/VirtualCluster.cxx
+++ b/Tests/Golden/VirtualCluster.cxx
@@ -34,7 +34,7 @@
 constexpr Millis kDrain{ 8000 };
 /** Maximum delay of an answer after the deadline, if the entry is alive. */
 constexpr Millis kAnswerSlack{ 30 };
-constexpr std::size_t kShownBody = 60;
+constexpr std::size_t kMaxShownBodyBytes = 60;
 constexpr std::string_view kRetryLabel = "again-";
 /**
  * Promise 7: maximum time after the start of its leave in which an upstream
@@ -42,8 +42,9 @@
  * one that the side must detect takes the lifetime of an announcement. A frozen
  * side accepts earlier messages later, so its time starts when it thaws.
  */
-constexpr Millis kToldBound{ 10 };
-constexpr Millis kNoticedBound = kAnnouncementLife + kToldBound;
+constexpr Millis kReportedLeaveTimeout{ 10 };
+constexpr Millis kDetectedLeaveTimeout =
+  kAnnouncementLife + kReportedLeaveTimeout;
 
 using Words = std::vector<std::string>;
 
@@ -59,8 +60,8 @@
   bool entryDied_ = false;
   bool entryFroze_ = false;
   Instant deadline_;
-  Instant toldAt_;
-  std::vector<AnswerCaller> told_;
+  Instant answeredAt_;
+  std::vector<AnswerCaller> answers_;
 };
 
 template<typename Core>
@@ -89,11 +90,11 @@
   bool closes_ = false;
   std::uint64_t incarnation_ = 0;
   /** Incarnation that this one replaced. */
-  std::uint64_t before_ = 0;
+  std::uint64_t previousIncarnation_ = 0;
   std::uint16_t slots_ = 2;
   /** Whether the upstream is leaving; reset by its next start. */
   bool leaving_ = false;
-  std::string leavingHow_;
+  std::string leaveKind_;
   Instant leavingSince_;
   bool sideFroze_ = false;
   /** Time at which the side received the last announcement. */
@@ -168,10 +169,10 @@
   answered_ += aOther.answered_;
   notRun_ += aOther.notRun_;
   mayHaveRun_ += aOther.mayHaveRun_;
-  untold_ += aOther.untold_;
+  unanswered_ += aOther.unanswered_;
   doubled_ += aOther.doubled_;
   falseNotRun_ += aOther.falseNotRun_;
-  explainedInDoubt_ += aOther.explainedInDoubt_;
+  explainedUnknown_ += aOther.explainedUnknown_;
   tableWrites_ += aOther.tableWrites_;
   atMostOnce_ += aOther.atMostOnce_;
   return *this;
@@ -183,9 +184,9 @@
   std::ostringstream text;
   text << "sent " << sent_ << ", run " << run_ << ", answered " << answered_
        << ", not run " << notRun_ << ", may have run " << mayHaveRun_
-       << ", untold " << untold_ << ", doubled " << doubled_
+       << ", untold " << unanswered_ << ", doubled " << doubled_
        << ", false \"not run\" " << falseNotRun_ << ", explained in doubt "
-       << explainedInDoubt_ << ", table writes " << tableWrites_ << " for "
+       << explainedUnknown_ << ", table writes " << tableWrites_ << " for "
        << atMostOnce_ << " at-most-once requests";
   return text.str();
 }
@@ -194,7 +195,7 @@
 {
 public:
   explicit Private(bool aKeepTranscript)
-    : keep_(aKeepTranscript)
+    : keepTranscript_(aKeepTranscript)
   {
   }
 
@@ -208,7 +209,7 @@
     At(now_ + aDelay, std::move(aEvent));
   }
   void RunUntil(Instant aEnd);
-  void Say(const std::string& aText);
+  void AddLine(const std::string& aText);
 
   // The script.
   void Execute(const Words& aWords);
@@ -275,7 +276,7 @@
   void Check();
   void CheckTold(const Caller& aCaller);
   void CheckExplain(const Caller& aCaller);
-  void Break(const std::string& aText) { broken_.push_back(aText); }
+  void AddViolation(const std::string& aText) { broken_.push_back(aText); }
 
   EntryNode* FindEntry(const std::string& aName, std::uint64_t aIncarnation)
   {
@@ -298,7 +299,7 @@
     return links_[{ aEntry, aSide }];
   }
 
-  bool keep_;
+  bool keepTranscript_;
   Instant now_ = kStart;
   std::multimap<Instant, std::function<void()>> events_;
   std::string transcript_;
@@ -318,7 +319,7 @@
   std::map<std::string, std::uint64_t> runsByKey_;
   std::map<std::string, std::string> bodyByKey_;
   /** Time at which a side received a dispatch, by attempt. */
-  std::map<std::string, Instant> takenAt_;
+  std::map<std::string, Instant> receivedAt_;
   std::map<std::string, std::string> expected_;
   bool entryKilled_ = false;
   SessionCounts counts_;
@@ -337,9 +338,9 @@
 }
 
 void
-VirtualCluster::Private::Say(const std::string& aText)
+VirtualCluster::Private::AddLine(const std::string& aText)
 {
-  if (!keep_) {
+  if (!keepTranscript_) {
     return;
   }
   std::ostringstream line;
@@ -373,7 +374,7 @@
   for (std::size_t index = 1; index < aWords.size(); ++index) {
     line += " " + aWords.at(index);
   }
-  Say(line);
+  AddLine(line);
   if (verb == "entry") {
     StartEntry(first);
   } else if (verb == "side") {
@@ -427,13 +428,14 @@
     CarryAnnouncement(first);
   } else if (verb == "goodbye-old") {
     SideNode& side = sides_.at(first);
-    RunSide(side, side.core_->OnGoodbye(side.upstream_.before_, now_));
+    RunSide(side,
+            side.core_->OnGoodbye(side.upstream_.previousIncarnation_, now_));
   } else if (verb == "expect") {
     expected_[first] = second;
   } else if (verb == "heal") {
     Heal();
   } else {
-    Break("The script has no verb '" + verb + "'.");
+    AddViolation("The script has no verb '" + verb + "'.");
   }
 }
 
@@ -459,7 +461,7 @@
     Kill(aName);
   }
   Upstream upstream = std::move(side.upstream_);
-  if (upstream.leavingHow_ == "planned stop") {
+  if (upstream.leaveKind_ == "planned stop") {
     EndLeaving(upstream);
   }
   side = SideNode{};
@@ -482,7 +484,7 @@
   upstream.alive_ = true;
   upstream.announces_ = true;
   upstream.closes_ = false;
-  upstream.before_ = upstream.incarnation_;
+  upstream.previousIncarnation_ = upstream.incarnation_;
   upstream.incarnation_ = nextIncarnation_++;
   Announce(aSide, upstream.incarnation_);
 }
@@ -515,7 +517,7 @@
     return;
   }
   upstream.leaving_ = true;
-  upstream.leavingHow_ = aHow;
+  upstream.leaveKind_ = aHow;
   upstream.leavingSince_ = now_;
   upstream.sideFroze_ = aSide.frozen_;
   upstream.lastCallAfter_ = 0;
@@ -528,20 +530,21 @@
     return;
   }
   aUpstream.leaving_ = false;
-  const std::string& how = aUpstream.leavingHow_;
+  const std::string& how = aUpstream.leaveKind_;
   const std::string frozen = aUpstream.sideFroze_ ? ", side frozen" : "";
   leaving_[how + frozen].push_back(aUpstream.lastCallAfter_);
-  const bool noticed = how == "silence" || how == "lost goodbye";
+  const bool detected = how == "silence" || how == "lost goodbye";
   // Includes an announcement in flight when the upstream stopped announcing.
   const Millis heard =
     std::max(Millis(0),
              std::chrono::ceil<Millis>(aUpstream.announcedAt_ -
                                        aUpstream.leavingSince_));
-  const Millis bound = noticed ? heard + kNoticedBound : kToldBound;
+  const Millis bound =
+    detected ? heard + kDetectedLeaveTimeout : kReportedLeaveTimeout;
   if (!aUpstream.sideFroze_ && aUpstream.lastCallAfter_ > bound.count()) {
-    Break("An upstream got a new call " +
-          std::to_string(aUpstream.lastCallAfter_) + " ms after its " + how +
-          ".");
+    AddViolation("An upstream got a new call " +
+                 std::to_string(aUpstream.lastCallAfter_) + " ms after its " +
+                 how + ".");
   }
 }
 
@@ -584,7 +587,7 @@
   caller.deadline_ = now_ + Millis(std::stoi(aWords.at(6)));
   if (entry.core_ == nullptr ||
       (entry.stopping_ && now_ >= entry.stopEarliest_)) {
-    Say("caller/" + caller.label_ + " finds no entry there");
+    AddLine("caller/" + caller.label_ + " finds no entry there");
     return;
   }
   ++counts_.sent_;
@@ -615,7 +618,7 @@
 VirtualCluster::Private::HangUp(const std::string& aLabel)
 {
   const auto found = callers_.find(aLabel);
-  if (found == callers_.end() || !found->second.told_.empty()) {
+  if (found == callers_.end() || !found->second.answers_.empty()) {
     return;
   }
   found->second.hungUp_ = true;
@@ -723,7 +726,7 @@
   entryKilled_ = true;
   entries_.at(aNode).core_.reset();
   for (auto& [label, caller] : callers_) {
-    if (caller.entry_ == aNode && caller.told_.empty()) {
+    if (caller.entry_ == aNode && caller.answers_.empty()) {
       caller.entryDied_ = true;
     }
   }
@@ -806,8 +809,8 @@
     if (entry->stopping_ &&
         (now_ >= entry->stopBound_ || (idle && now_ >= entry->stopEarliest_))) {
       const std::size_t unwritten = entry->core_->UnwrittenOutcomes();
-      Say("entry/" + aName + " ends, " + std::to_string(unwritten) +
-          " outcomes unwritten");
+      AddLine("entry/" + aName + " ends, " + std::to_string(unwritten) +
+              " outcomes unwritten");
       // The keys stay claimed, as if the entry had been killed.
       entryKilled_ = entryKilled_ || unwritten > 0;
       CutAll(aName);
@@ -839,7 +842,7 @@
       side->stopping_ = false;
       After(kHop * 2, [this, aName, aIncarnation] {
         if (SideNode* ended = FindSide(aName, aIncarnation)) {
-          Say("side/" + aName + " ends");
+          AddLine("side/" + aName + " ends");
           CutAll(aName);
           ended->core_.reset();
         }
@@ -886,8 +889,9 @@
           raw->core_->OnHeartbeat(heartbeat, now_);
         if (change != MembershipChange::None &&
             change != MembershipChange::Stale) {
-          Say("entry/" + raw->name_ + " side-changed " + heartbeat.sideId_ +
-              " state " + std::to_string(static_cast<int>(heartbeat.state_)));
+          AddLine("entry/" + raw->name_ + " side-changed " + heartbeat.sideId_ +
+                  " state " +
+                  std::to_string(static_cast<int>(heartbeat.state_)));
         }
       });
     }
@@ -1007,8 +1011,8 @@
 {
   SideNode& side = sides_.at(aAction.sideId_);
   Link& link = LinkOf(aEntry.name_, side.name_);
-  Say("entry/" + aEntry.name_ + " > side/" + side.name_ + " dispatch " +
-      aAction.dispatch_.attemptId_);
+  AddLine("entry/" + aEntry.name_ + " > side/" + side.name_ + " dispatch " +
+          aAction.dispatch_.attemptId_);
   if (!Connect(aEntry, side, link)) {
     return;
   }
@@ -1021,7 +1025,7 @@
           SideNode* node = FindSide(name, incarnation);
           if (node != nullptr) {
             Deliver(*node, [this, node, id, dispatch] {
-              takenAt_.emplace(dispatch.attemptId_, now_);
+              receivedAt_.emplace(dispatch.attemptId_, now_);
               RunSide(*node, node->core_->OnDispatch(id, dispatch, now_));
             });
           }
@@ -1036,8 +1040,8 @@
   if (!link.up_) {
     return;
   }
-  Say("entry/" + aEntry.name_ + " > side/" + name + " cancel " +
-      aAction.cancel_.attemptId_);
+  AddLine("entry/" + aEntry.name_ + " > side/" + name + " cancel " +
+          aAction.cancel_.attemptId_);
   const std::uint64_t incarnation = sides_.at(name).incarnation_;
   const LinkId id = link.id_;
   Carry(aEntry.name_,
@@ -1056,22 +1060,22 @@
 VirtualCluster::Private::Do(EntryNode& aEntry, const AnswerCaller& aAction)
 {
   const std::string label = labelByRequest_[aAction.requestId_];
-  Say("entry/" + aEntry.name_ + " > caller/" + label + " " +
-      std::string(VerdictText(aAction.verdict_)) + ", status " +
-      std::to_string(aAction.status_) + ", retry after " +
-      std::to_string(aAction.retryAfter_.count()) +
-      " ms: " + (aAction.reason_.empty() ? aAction.body_ : aAction.reason_));
+  AddLine("entry/" + aEntry.name_ + " > caller/" + label + " " +
+          std::string(VerdictText(aAction.verdict_)) + ", status " +
+          std::to_string(aAction.status_) + ", retry after " +
+          std::to_string(aAction.retryAfter_.count()) + " ms: " +
+          (aAction.reason_.empty() ? aAction.body_ : aAction.reason_));
   Caller& caller = callers_[label];
-  caller.told_.push_back(aAction);
-  caller.toldAt_ = now_;
+  caller.answers_.push_back(aAction);
+  caller.answeredAt_ = now_;
 }
 
 void
 VirtualCluster::Private::Do(EntryNode& aEntry, const WriteClaim& aAction)
 {
-  Say("entry/" + aEntry.name_ + " > table " + aAction.key_ + " at " +
-      std::to_string(aAction.expectedRevision_) + ": " +
-      RecordText(aAction.record_));
+  AddLine("entry/" + aEntry.name_ + " > table " + aAction.key_ + " at " +
+          std::to_string(aAction.expectedRevision_) + ": " +
+          RecordText(aAction.record_));
   const std::string entry = aEntry.name_;
   const std::uint64_t incarnation = aEntry.incarnation_;
   const std::uint64_t ticket = nextTicket_++;
@@ -1124,11 +1128,11 @@
     static constexpr std::array<std::string_view, 4> kNames{
       "applied", "refused", "not written", "no answer"
     };
-    Say("table > entry/" + entry->name_ + " " + aWrite.key_ + " " +
-        std::string(kNames.at(static_cast<std::size_t>(aResult.outcome_))) +
-        (aResult.outcome_ == ClaimWrite::Refused
-           ? ", it holds " + RecordText(aResult.record_)
-           : ""));
+    AddLine("table > entry/" + entry->name_ + " " + aWrite.key_ + " " +
+            std::string(kNames.at(static_cast<std::size_t>(aResult.outcome_))) +
+            (aResult.outcome_ == ClaimWrite::Refused
+               ? ", it holds " + RecordText(aResult.record_)
+               : ""));
     RunEntry(*entry,
              entry->core_->OnClaimWritten(
                aWrite.requestId_, aWrite.writeId_, aResult, now_));
@@ -1154,11 +1158,11 @@
 {
   aStep.host_ = aHost;
   aStep.wallMicros_ = now_.time_since_epoch().count();
-  Say(aHost + " notes " + aStep.requestId_ + " " + aStep.step_ + " (" +
-      std::string(VerdictText(aStep.verdict_)) +
-      (aStep.conclusive_ ? ", conclusive)" : ")") +
-      (aStep.attemptId_.empty() ? "" : " " + aStep.attemptId_) + ": " +
-      aStep.detail_);
+  AddLine(aHost + " notes " + aStep.requestId_ + " " + aStep.step_ + " (" +
+          std::string(VerdictText(aStep.verdict_)) +
+          (aStep.conclusive_ ? ", conclusive)" : ")") +
+          (aStep.attemptId_.empty() ? "" : " " + aStep.attemptId_) + ": " +
+          aStep.detail_);
   aJournal.push_back(std::move(aStep));
 }
 
@@ -1212,13 +1216,13 @@
   }
   const std::string& id = aCall.dispatch_.requestId_;
   const std::string key = HeaderValue(aCall.dispatch_.headers_, "X-Key");
-  Say("upstream/" + aSide + " runs " + id + " for key " + key);
+  AddLine("upstream/" + aSide + " runs " + id + " for key " + key);
   ++counts_.run_;
   ++runsByRequest_[id];
   ++runsByKey_[key];
   const std::string body = "ran " + id + " with " + aCall.dispatch_.body_;
   bodyByKey_[key] = body;
-  const Instant taken = takenAt_[attempt];
+  const Instant taken = receivedAt_[attempt];
   if (upstream.leaving_ && taken > upstream.leavingSince_) {
     upstream.lastCallAfter_ =
       std::chrono::duration_cast<Millis>(taken - upstream.leavingSince_)
@@ -1279,7 +1283,7 @@
     std::string line = "side/" + side;
     line.append(" > entry/").append(entry).append(" answer ");
     line.append(aAction.answer_.attemptId_).append(" ");
-    Say(line.append(VerdictText(aAction.answer_.verdict_)));
+    AddLine(line.append(VerdictText(aAction.answer_.verdict_)));
     Carry(
       entry, side, [this, entry, side, incarnation, answer = aAction.answer_] {
         if (EntryNode* node = FindEntry(entry, incarnation)) {
@@ -1297,37 +1301,37 @@
 {
   const std::string who = "caller " + aCaller.label_;
   const bool excused = aCaller.entryDied_ || aCaller.hungUp_;
-  if (aCaller.told_.empty()) {
-    ++counts_.untold_;
+  if (aCaller.answers_.empty()) {
+    ++counts_.unanswered_;
     if (!excused) {
-      Break(who + " never got an answer.");
+      AddViolation(who + " never got an answer.");
     }
     return;
   }
-  if (aCaller.told_.size() > 1) {
-    Break(who + " got two answers.");
+  if (aCaller.answers_.size() > 1) {
+    AddViolation(who + " got two answers.");
   }
-  const bool late = aCaller.toldAt_ > aCaller.deadline_ + kAnswerSlack;
+  const bool late = aCaller.answeredAt_ > aCaller.deadline_ + kAnswerSlack;
   if (late && !aCaller.entryFroze_) {
-    Break(who + " got its answer only after the deadline.");
+    AddViolation(who + " got its answer only after the deadline.");
   }
-  const AnswerCaller& told = aCaller.told_.front();
+  const AnswerCaller& told = aCaller.answers_.front();
   const std::uint64_t runs = runsByRequest_[aCaller.requestId_];
   if (told.verdict_ == Verdict::DidNotRun) {
     ++counts_.notRun_;
     if (runs > 0) {
       ++counts_.falseNotRun_;
-      Break(who + " was told \"did not run\", but it ran.");
+      AddViolation(who + " was told \"did not run\", but it ran.");
     }
     if (told.retryAfter_.count() == 0 && told.status_ != 422) {
-      Break(who + " was not told when to come back.");
+      AddViolation(who + " was not told when to come back.");
     }
   } else if (told.verdict_ == Verdict::MayHaveRun) {
     ++counts_.mayHaveRun_;
   } else {
     ++counts_.answered_;
     if (runsByKey_[aCaller.key_] == 0) {
-      Break(who + " was told \"ran\", but it did not run.");
+      AddViolation(who + " was told \"ran\", but it did not run.");
     }
   }
   if (told.status_ != 200) {
@@ -1340,7 +1344,7 @@
                         told.body_ == bodyByKey_[aCaller.key_] &&
                         told.body_.ends_with(" with " + aCaller.payload_);
   if (!own && !replayed) {
-    Break(who + " got an answer that is not its own: " + told.body_);
+    AddViolation(who + " got an answer that is not its own: " + told.body_);
   }
 }
 
@@ -1365,15 +1369,15 @@
   collect(sides_);
   const Explanation explanation = ExplainVerdict(steps);
   const std::uint64_t runs = runsByRequest_[aCaller.requestId_];
-  Say("explain " + aCaller.requestId_ + ": " +
-      std::string(VerdictText(explanation.verdict_)) + ", it ran " +
-      std::to_string(runs) + " times. " + explanation.reason_);
-  counts_.explainedInDoubt_ +=
+  AddLine("explain " + aCaller.requestId_ + ": " +
+          std::string(VerdictText(explanation.verdict_)) + ", it ran " +
+          std::to_string(runs) + " times. " + explanation.reason_);
+  counts_.explainedUnknown_ +=
     explanation.verdict_ == Verdict::MayHaveRun ? 1 : 0;
   if ((explanation.verdict_ == Verdict::DidNotRun && runs > 0) ||
       (explanation.verdict_ == Verdict::Ran && runs == 0)) {
-    Break("Explain is wrong about caller " + aCaller.label_ + ": " +
-          explanation.reason_);
+    AddViolation("Explain is wrong about caller " + aCaller.label_ + ": " +
+                 explanation.reason_);
   }
 }
 
@@ -1381,7 +1385,7 @@
 VirtualCluster::Private::Check()
 {
   std::set<std::string> onceKeys;
-  std::set<std::string> doubtedKeys;
+  std::set<std::string> keysWithUnknownOutcome;
   for (const auto& [label, caller] : callers_) {
     if (label.empty()) {
       continue;
@@ -1391,21 +1395,22 @@
     if (!caller.idempotent_) {
       onceKeys.insert(caller.key_);
     }
-    const bool toldNotRun = !caller.told_.empty() &&
-                            caller.told_.front().verdict_ == Verdict::DidNotRun;
+    const bool toldNotRun =
+      !caller.answers_.empty() &&
+      caller.answers_.front().verdict_ == Verdict::DidNotRun;
     if (!toldNotRun && !label.starts_with(kRetryLabel)) {
-      doubtedKeys.insert(caller.key_);
+      keysWithUnknownOutcome.insert(caller.key_);
     }
   }
   for (const std::string& key : onceKeys) {
     if (runsByKey_[key] > 1) {
       ++counts_.doubled_;
-      Break("Key " + key + " ran " + std::to_string(runsByKey_[key]) +
-            " times.");
+      AddViolation("Key " + key + " ran " + std::to_string(runsByKey_[key]) +
+                   " times.");
     }
   }
   for (const auto& [label, expected] : expected_) {
-    const std::vector<AnswerCaller>& told = callers_[label].told_;
+    const std::vector<AnswerCaller>& told = callers_[label].answers_;
     std::string got(told.empty() ? "nothing"
                                  : VerdictText(told.front().verdict_));
     std::replace(got.begin(), got.end(), ' ', '-');
@@ -1413,18 +1418,19 @@
       std::ostringstream text;
       text << "caller " << label << " was told " << got << ", not " << expected
            << ".";
-      Break(text.str());
+      AddViolation(text.str());
     }
   }
   // A retry "again-KEY" after "heal" at the end of a session must run.
   for (const auto& [label, caller] : callers_) {
-    const bool ran =
-      !caller.told_.empty() && caller.told_.front().verdict_ == Verdict::Ran;
+    const bool ran = !caller.answers_.empty() &&
+                     caller.answers_.front().verdict_ == Verdict::Ran;
     if (label.starts_with(kRetryLabel) && !ran && !entryKilled_ &&
-        !doubtedKeys.contains(caller.key_)) {
-      Break("Key " + caller.key_ +
-            " is blocked: all were told \"did not run\", but its retry after "
-            "the faults did not run either.");
+        !keysWithUnknownOutcome.contains(caller.key_)) {
+      AddViolation(
+        "Key " + caller.key_ +
+        " is blocked: all were told \"did not run\", but its retry after "
+        "the faults did not run either.");
     }
   }
 }
@@ -1457,9 +1463,9 @@
     self.EndLeaving(side.upstream_);
   }
   self.Check();
-  self.Say("counts: " + self.counts_.Text());
+  self.AddLine("counts: " + self.counts_.Text());
   for (const std::string& sentence : self.broken_) {
-    self.Say("BROKEN: " + sentence);
+    self.AddLine("BROKEN: " + sentence);
   }
 }
 
--- a/Tests/Golden/VirtualCluster.h
+++ b/Tests/Golden/VirtualCluster.h
@@ -19,10 +19,10 @@
   std::uint64_t mayHaveRun_ = 0;
   /** Requests without an answer because the entry died or the caller hung up.
    */
-  std::uint64_t untold_ = 0;
+  std::uint64_t unanswered_ = 0;
   std::uint64_t doubled_ = 0;
   std::uint64_t falseNotRun_ = 0;
-  std::uint64_t explainedInDoubt_ = 0;
+  std::uint64_t explainedUnknown_ = 0;
   std::uint64_t tableWrites_ = 0;
   /** Requests that needed a claim. */
   std::uint64_t atMostOnce_ = 0;
--- a/Tests/Unit/AdmissionTest.cxx
+++ b/Tests/Unit/AdmissionTest.cxx
@@ -39,7 +39,7 @@
 
 // Guards against requests that wait for their timeout, for instance ten
 // seconds, although the queue already exceeds their deadline on arrival.
-Test(Admission, RefusesAtOnceWhatCantMeetItsDeadline)
+Test(Admission, RefusesRequestThatCannotMeetItsDeadline)
 {
   Admission admission = Small(100);
   const Admission::Tenant tenant = admission.AddTenant(1);
@@ -107,7 +107,7 @@
 
 // Guards against a late cancel that removes another request, because that
 // request reuses the queue index of the cancelled one.
-Test(Admission, LateCancelDoesNotHitThePlacesNextOwner)
+Test(Admission, LateCancelDoesNotRemoveTheNextRequest)
 {
   Admission admission = Small(10);
   const Admission::Tenant tenant = admission.AddTenant(1);
@@ -121,7 +121,7 @@
 
 // Guards against cancelled requests that keep their slots, so that no request
 // can run after a burst of cancellations.
-Test(Admission, CancelsFreeWhatTheyHeld)
+Test(Admission, CancelReleasesSlots)
 {
   Admission admission = Small(1000);
   const Admission::Tenant tenant = admission.AddTenant(1);
--- a/Tests/Unit/ClaimBatcherTest.cxx
+++ b/Tests/Unit/ClaimBatcherTest.cxx
@@ -88,7 +88,7 @@
 
 }
 
-Test(ClaimBatcher, AloneGoesAtOnce)
+Test(ClaimBatcher, SingleWriteIsSentAtOnce)
 {
   ClaimBatcher batcher(ClaimBatcher::Limits{});
   batcher.Add(Claim("r1", "k1"));
@@ -98,7 +98,7 @@
 // Two requests claim one key within a millisecond, together with forty other
 // claims. Guards against both claims in one transaction, after which both
 // requests own the key, and against a refused claim that fails the other forty.
-Test(ClaimBatcher, OneHolderForAKeyAndTheOthersUnharmed)
+Test(ClaimBatcher, OneOwnerPerKeyAndOtherClaimsApplied)
 {
   ClaimBatcher batcher(ClaimBatcher::Limits{});
   FakeTable table(batcher);
@@ -140,7 +140,7 @@
   cr_assert(table.transactions_ <= kClaims / 20);
 }
 
-Test(ClaimBatcher, WhatWaitsPastItsDeadlineWasNotWritten)
+Test(ClaimBatcher, WriteWaitingPastItsDeadlineIsNotWritten)
 {
   ClaimBatcher batcher(ClaimBatcher::Limits{});
   batcher.Add(Claim("r1", "k1"));
@@ -158,7 +158,7 @@
 // Guards against a lost answer of the table that blocks the next claim until
 // its deadline, although the table works. The next claim must be sent in
 // parallel, and the late result must apply to the first claim only.
-Test(ClaimBatcher, LostAnswerHoldsUpNoOthers)
+Test(ClaimBatcher, LostAnswerBlocksNoOtherClaim)
 {
   ClaimBatcher batcher(ClaimBatcher::Limits{});
   batcher.Add(Claim("lost", "k1"));
@@ -180,7 +180,7 @@
 // Guards against an outcome that the table service can't store, because of an
 // invalid byte in the answer, failing each batch that it joins on its retries:
 // every claim of the lane would be refused for two minutes.
-Test(ClaimBatcher, WhatFailedGoesAlone)
+Test(ClaimBatcher, FailedWriteIsRetriedAlone)
 {
   ClaimBatcher batcher(ClaimBatcher::Limits{});
   batcher.Add(Claim("other", "k1"));
--- a/Tests/Unit/ClaimTransactionTest.cxx
+++ b/Tests/Unit/ClaimTransactionTest.cxx
@@ -29,7 +29,7 @@
 // One batch holds three claims, and the second key was used before. Guards
 // against assigning its row to another claim: the first caller would get the
 // answer to another request, and the second request would run again.
-Test(ClaimTransaction, RefusalIsOfTheRowItNames)
+Test(ClaimTransaction, RefusalAppliesToTheNamedRow)
 {
   ClaimBatcher batcher(ClaimBatcher::Limits{});
   ClaimTransaction group(ThreeClaims(batcher));
@@ -50,7 +50,7 @@
 
 // The answer to three claims holds two rows. Guards against treating the third
 // claim as written.
-Test(ClaimTransaction, AnswerWithoutARowIsADoubt)
+Test(ClaimTransaction, AnswerWithoutARowIsUnknown)
 {
   ClaimBatcher batcher(ClaimBatcher::Limits{});
   ClaimTransaction group(ThreeClaims(batcher));
@@ -67,7 +67,7 @@
             "a claim gets the revision of another claim");
 }
 
-Test(ClaimTransaction, LostAnswerIsADoubtOfEach)
+Test(ClaimTransaction, LostAnswerIsUnknownForEachClaim)
 {
   ClaimBatcher batcher(ClaimBatcher::Limits{});
   ClaimTransaction group(ThreeClaims(batcher));
--- a/Tests/Unit/EntryCoreTest.cxx
+++ b/Tests/Unit/EntryCoreTest.cxx
@@ -108,7 +108,7 @@
 
 // Guards against unbounded growth of an entry's state for removed sides,
 // because hosts are replaced daily under new names.
-Test(EntryCore, ForgetsSidesThatAreSilentForLong)
+Test(EntryCore, RemovesSidesWithoutHeartbeats)
 {
   EntryCore core(EntryCore::Limits{});
   for (int side = 0; side < 100; ++side) {
@@ -121,7 +121,7 @@
 // The table service's answer to a claim was lost. Guards against a second write
 // in a shared batch: if an invalid row fails that batch as well, the request is
 // refused although the table works.
-Test(EntryCore, ClaimInDoubtIsReadAgainAlone)
+Test(EntryCore, UnknownClaimIsRetriedAlone)
 {
   EntryCore core(EntryCore::Limits{});
   core.OnHeartbeat(ReadySide("side1", 1), kStart);
@@ -172,7 +172,7 @@
 // migration). Guards against refusing the first request after the stall, for
 // lack of an upstream, because it is read before the sides' heartbeats. The
 // order of reading and the length of the stall must not matter.
-Test(EntryCore, OwnStandstillIsNotTakenForSilenceOfSides)
+Test(EntryCore, OwnStallDoesNotTimeOutSides)
 {
   for (const int stoodStill : { 400, 1900, 2100, 5000, 60000 }) {
     for (const bool tickFirst : { false, true }) {
@@ -193,7 +193,7 @@
 // A request runs during a stall, its answer is already in the entry's socket,
 // and the heartbeat of another side is read first. Guards against abandoning
 // the request or sending it to the other side as well.
-Test(EntryCore, OwnStandstillLeavesNoAttempt)
+Test(EntryCore, OwnStallAbandonsNoAttempt)
 {
   EntryCore core(EntryCore::Limits{});
   TickUntil(core, kStart, kStart + Millis(1000));
@@ -214,7 +214,7 @@
 // Guards against the stall handling keeping removed sides usable: a side
 // without a heartbeat for the timeout after the stall is unresponsive, and so
 // is a side that was unresponsive before it.
-Test(EntryCore, SideThatIsGoneIsSilentSoonAfterAStandstill)
+Test(EntryCore, RemovedSideTimesOutAfterAStall)
 {
   EntryCore core(EntryCore::Limits{});
   core.OnHeartbeat(ReadySide("gone", 1), kStart);
--- a/Tests/Unit/RoutingTest.cxx
+++ b/Tests/Unit/RoutingTest.cxx
@@ -87,7 +87,7 @@
   }
 }
 
-Test(Routing, SameDataCentreGoesFirstWhileItHasRoom)
+Test(Routing, SameDataCentreIsPreferredWithFreeCapacity)
 {
   Router router(Router::Rules{});
   const Router::Runner near = router.Add(true, 8);
@@ -114,7 +114,7 @@
 // Guards against a runner that refuses every request immediately, therefore
 // always looks idle and attracts all requests, each of which then has a failed
 // attempt.
-Test(Routing, FailingRunnerIsSetAsideAndProbedOnce)
+Test(Routing, FailingRunnerIsEjectedAndProbedOnce)
 {
   Router router(Router::Rules{});
   std::vector<Router::Runner> runners;
@@ -163,7 +163,7 @@
   cr_assert_geq(retries, 60000 / 10);
 }
 
-Test(RetryBudget, SaysWhenTheNextIsThere)
+Test(RetryBudget, ReturnsTimeOfNextRetry)
 {
   RetryBudget budget(RetryBudget::Rules{});
   while (budget.TryTake(At(1))) {
--- a/Tests/Unit/SideCoreTest.cxx
+++ b/Tests/Unit/SideCoreTest.cxx
@@ -82,7 +82,7 @@
 // so all can be answered within 0.2 s. Guards against a queue limit of sixteen:
 // when an entry stopped during such a burst, 1 to 6 of 40 requests were refused
 // after 20 ms with "No further upstream of the service is there to try".
-Test(SideCore, BurstThatCanBeServedInTimeIsNotTurnedAway)
+Test(SideCore, BurstThatCanBeServedInTimeIsNotRefused)
 {
   Bench bench;
   constexpr std::size_t kBurst = 60;
@@ -120,7 +120,7 @@
 
 // An upstream that hangs gives no answers from which to measure its service
 // time. Guards against queueing requests that can't be answered in time.
-Test(SideCore, HungUpstreamMakesNobodyWaitInVain)
+Test(SideCore, HungUpstreamRefusesRequestsItCannotServe)
 {
   Bench bench;
   for (std::uint16_t i = 0; i < 2 * kSlots; ++i) {
