--- a/Source/Request/Admission.cxx
+++ b/Source/Request/Admission.cxx
@@ -13,7 +13,7 @@
 
 Admission::Admission(const Rules& aRules)
   : rules_(aRules)
-  , serviceMicros_(static_cast<double>(aRules.expectedService_.count()))
+  , serviceMicros_(static_cast<double>(aRules.assumedServiceTime_.count()))
 {
 }
 
@@ -72,18 +72,18 @@
 }
 
 Admission::Ticket
-Admission::TicketOf(std::uint32_t aPlace) const
+Admission::TicketOf(std::uint32_t aIndex) const
 {
-  return Ticket{ aPlace, entries_[aPlace].generation_ };
+  return Ticket{ aIndex, entries_[aIndex].generation_ };
 }
 
 Admission::Entry*
 Admission::Find(Ticket aTicket)
 {
-  if (aTicket.place_ >= entries_.size()) {
+  if (aTicket.index_ >= entries_.size()) {
     return nullptr;
   }
-  Entry& entry = entries_[aTicket.place_];
+  Entry& entry = entries_[aTicket.index_];
   const bool same = entry.generation_ == aTicket.generation_;
   return same && entry.state_ != State::Free ? &entry : nullptr;
 }
@@ -119,9 +119,9 @@
 }
 
 void
-Admission::Unlink(std::uint32_t aPlace)
+Admission::Unlink(std::uint32_t aIndex)
 {
-  Entry& entry = entries_[aPlace];
+  Entry& entry = entries_[aIndex];
   TenantState& tenant = tenants_[entry.tenant_];
   Queue& queue = tenant.queues_[static_cast<std::size_t>(entry.urgency_)];
   if (entry.previous_ == kNone) {
@@ -140,14 +140,14 @@
 }
 
 void
-Admission::Free(std::uint32_t aPlace)
+Admission::Free(std::uint32_t aIndex)
 {
-  Entry& entry = entries_[aPlace];
+  Entry& entry = entries_[aIndex];
   entry.state_ = State::Free;
   // The generation keeps a late cancel or answer for the old request from
   // affecting the next request that reuses this index.
   ++entry.generation_;
-  free_.push_back(aPlace);
+  free_.push_back(aIndex);
 }
 
 std::optional<std::uint32_t>
@@ -221,13 +221,13 @@
 }
 
 void
-Admission::OnDone(Ticket aTicket, Micros aService)
+Admission::OnDone(Ticket aTicket, Micros aServiceTime)
 {
   const Entry* entry = Find(aTicket);
   if (entry == nullptr || entry->state_ != State::Running) {
     return;
   }
-  const auto micros = static_cast<double>(aService.count());
+  const auto micros = static_cast<double>(aServiceTime.count());
   serviceMicros_ += kServiceSmoothing * (micros - serviceMicros_);
   Cancel(aTicket);
 }
@@ -240,12 +240,12 @@
     return;
   }
   if (entry->state_ == State::Waiting) {
-    Unlink(aTicket.place_);
+    Unlink(aTicket.index_);
   } else {
     --tenants_[entry->tenant_].running_;
     --running_;
   }
-  Free(aTicket.place_);
+  Free(aTicket.index_);
 }
 
 std::size_t
--- a/Source/Request/Admission.h
+++ b/Source/Request/Admission.h
@@ -35,7 +35,7 @@
   {
     std::size_t maxWaiting_ = 256;
     /** Assumed service time until the first answers are measured. */
-    Micros expectedService_{ 20000 };
+    Micros assumedServiceTime_{ 20000 };
   };
 
   using Tenant = std::uint32_t;
@@ -43,7 +43,7 @@
   /** Handle of a waiting or running request; never reused for another one. */
   struct Ticket
   {
-    std::uint32_t place_ = 0;
+    std::uint32_t index_ = 0;
     std::uint32_t generation_ = 0;
 
     bool operator==(const Ticket&) const = default;
@@ -82,8 +82,8 @@
    */
   std::optional<Ticket> Next(Instant aNow, std::vector<Ticket>& aExpired);
 
-  /** Releases the slot of a request that ended after aService. */
-  void OnDone(Ticket aTicket, Micros aService);
+  /** Releases the slot of a request that ended after aServiceTime. */
+  void OnDone(Ticket aTicket, Micros aServiceTime);
   /** Removes an abandoned request in constant time; ignores a stale ticket. */
   void Cancel(Ticket aTicket);
 
@@ -129,12 +129,12 @@
 
   Entry* Find(Ticket aTicket);
   std::uint32_t Append(Tenant aTenant, Urgency aUrgency, Instant aDeadline);
-  void Unlink(std::uint32_t aPlace);
-  void Free(std::uint32_t aPlace);
+  void Unlink(std::uint32_t aIndex);
+  void Free(std::uint32_t aIndex);
   std::optional<std::uint32_t> FindVictim(Tenant aTenant,
                                           Urgency aUrgency) const;
   std::optional<Tenant> NextTenant(std::size_t aUrgency) const;
-  Ticket TicketOf(std::uint32_t aPlace) const;
+  Ticket TicketOf(std::uint32_t aIndex) const;
 
   Rules rules_;
   std::vector<Entry> entries_;
--- a/Source/Request/ClaimBatcher.cxx
+++ b/Source/Request/ClaimBatcher.cxx
@@ -37,7 +37,7 @@
   // A lost answer would block every claim of the lane until the call times out,
   // and the claims would exceed their deadlines. Parallel transactions are safe
   // because each row's condition guards it.
-  const bool held = inFlight_.contains(lastGroup_) &&
+  const bool held = inFlight_.contains(lastBatchId_) &&
                     aNow < lastBegin_ + limits_.answerTimeout_;
   if (held || waiting_.empty() || aNow < nextBegin_) {
     return std::nullopt;
@@ -45,7 +45,7 @@
   Batch batch;
   batch.id_ = nextBatchId_++;
   std::set<std::pair<std::string, std::string>> keys;
-  std::deque<WriteClaim> later;
+  std::deque<WriteClaim> deferred;
   for (WriteClaim& write : waiting_) {
     // Two writes of one key can't share a transaction: the condition of the
     // second would be checked before the first is written, and both requests
@@ -53,15 +53,15 @@
     const bool fits = batch.writes_.size() < limits_.maxRows_ &&
                       keys.emplace(write.tenant_, write.key_).second;
     if (!fits) {
-      later.push_back(std::move(write));
+      deferred.push_back(std::move(write));
       continue;
     }
     batch.deadline_ = std::max(batch.deadline_, write.deadline_);
     batch.writes_.push_back(std::move(write));
   }
-  waiting_ = std::move(later);
+  waiting_ = std::move(deferred);
   inFlight_.emplace(batch.id_, batch.writes_);
-  lastGroup_ = batch.id_;
+  lastBatchId_ = batch.id_;
   lastBegin_ = aNow;
   nextBegin_ = aNow + limits_.interval_;
   return batch;
@@ -80,14 +80,14 @@
 {
   std::vector<WriteClaim> batch = Take(aBatchId);
   std::vector<Ended> ended;
-  for (std::size_t place = 0; place < batch.size(); ++place) {
+  for (std::size_t index = 0; index < batch.size(); ++index) {
     ClaimWriteResult result;
     // Rows without a revision in the answer have an unknown outcome.
-    if (place < aRevisions.size()) {
+    if (index < aRevisions.size()) {
       result.outcome_ = ClaimWrite::Applied;
-      result.revision_ = aRevisions[place];
+      result.revision_ = aRevisions[index];
     }
-    ended.push_back({ std::move(batch[place]), result });
+    ended.push_back({ std::move(batch[index]), result });
   }
   return ended;
 }
@@ -106,18 +106,18 @@
     refused.insert(row);
   }
   std::vector<Ended> ended;
-  std::deque<WriteClaim> again;
-  for (std::size_t place = 0; place < batch.size(); ++place) {
-    const auto found = refused.find(place);
+  std::deque<WriteClaim> requeued;
+  for (std::size_t index = 0; index < batch.size(); ++index) {
+    const auto found = refused.find(index);
     if (found == refused.end()) {
-      again.push_back(std::move(batch[place]));
+      requeued.push_back(std::move(batch[index]));
     } else {
-      ended.push_back({ std::move(batch[place]), found->second });
+      ended.push_back({ std::move(batch[index]), found->second });
     }
   }
   waiting_.insert(waiting_.begin(),
-                  std::make_move_iterator(again.begin()),
-                  std::make_move_iterator(again.end()));
+                  std::make_move_iterator(requeued.begin()),
+                  std::make_move_iterator(requeued.end()));
   nextBegin_ = Instant();
   return ended;
 }
@@ -136,15 +136,15 @@
 ClaimBatcher::OnTick(Instant aNow)
 {
   std::vector<Ended> ended;
-  std::deque<WriteClaim> kept;
+  std::deque<WriteClaim> remaining;
   for (WriteClaim& write : waiting_) {
     if (write.deadline_ <= aNow) {
       ended.push_back({ std::move(write), { ClaimWrite::NotWritten, 0, {} } });
     } else {
-      kept.push_back(std::move(write));
+      remaining.push_back(std::move(write));
     }
   }
-  waiting_ = std::move(kept);
+  waiting_ = std::move(remaining);
   return ended;
 }
 
--- a/Source/Request/ClaimBatcher.h
+++ b/Source/Request/ClaimBatcher.h
@@ -95,7 +95,7 @@
   /** Writes of the transactions in flight, by batch id. */
   std::map<std::uint64_t, std::vector<WriteClaim>> inFlight_;
   std::uint64_t nextBatchId_ = 1;
-  std::uint64_t lastGroup_ = 0;
+  std::uint64_t lastBatchId_ = 0;
   Instant lastBegin_;
   Instant nextBegin_;
 };
--- a/Source/Request/EntryCore.cxx
+++ b/Source/Request/EntryCore.cxx
@@ -168,7 +168,7 @@
   /** Requests by deadline, so that a tick visits only expired requests. */
   std::set<std::pair<Instant, std::string>> deadlines_;
   /** Requests with an attempt in flight, by side. */
-  std::unordered_map<std::string, std::set<std::string>> sent_;
+  std::unordered_map<std::string, std::set<std::string>> inFlightBySide_;
   std::unordered_map<std::string, AbandonedRequest> abandoned_;
   std::deque<std::pair<Instant, std::string>> abandonedOrder_;
 };
@@ -422,7 +422,7 @@
   SidesOf(aRequest.facts_.service_).OnSent(*side, aNow);
   aRequest.attemptId_ = requestId + "." + std::to_string(aRequest.attempts_);
   aRequest.tried_.emplace(side->sideId_, side->incarnation_);
-  sent_[aRequest.sideId_].insert(requestId);
+  inFlightBySide_[aRequest.sideId_].insert(requestId);
   Record(aActions,
          requestId,
          std::string(kStepDispatched),
@@ -460,11 +460,11 @@
   } else {
     sides.OnCancelled(aRequest.choice_, aNow);
   }
-  const auto sent = sent_.find(aRequest.sideId_);
-  if (sent != sent_.end()) {
+  const auto sent = inFlightBySide_.find(aRequest.sideId_);
+  if (sent != inFlightBySide_.end()) {
     sent->second.erase(aRequest.facts_.requestId_);
     if (sent->second.empty()) {
-      sent_.erase(sent);
+      inFlightBySide_.erase(sent);
     }
   }
   aRequest.attemptId_.clear();
@@ -551,11 +551,11 @@
                                            Request& aRequest,
                                            Instant aNow)
 {
-  const bool mayMove = aRequest.facts_.idempotent_ &&
-                       aRequest.attempts_ < limits_.maxAttempts_ &&
-                       Choose(aRequest, aNow).has_value() &&
-                       SidesOf(aRequest.facts_.service_).Budget().TryTake(aNow);
-  if (!mayMove) {
+  const bool canRetry =
+    aRequest.facts_.idempotent_ && aRequest.attempts_ < limits_.maxAttempts_ &&
+    Choose(aRequest, aNow).has_value() &&
+    SidesOf(aRequest.facts_.service_).Budget().TryTake(aNow);
+  if (!canRetry) {
     return;
   }
   Record(aActions,
@@ -595,7 +595,7 @@
   // The connection of a frozen side stays open for minutes. Its attempts would
   // wait until their deadlines although another side has free capacity.
   std::set<std::string> waiting;
-  for (const auto& [sideId, ids] : sent_) {
+  for (const auto& [sideId, ids] : inFlightBySide_) {
     if (membership_.IsSilent(sideId, awakeClock_.At(aNow))) {
       waiting.insert(ids.begin(), ids.end());
     }
@@ -616,8 +616,8 @@
 EntryCore::OnHeartbeat(const HeartbeatMessage& aHeartbeat, Instant aNow)
 {
   Private& self = *private_;
-  const Instant heardAt = self.awakeClock_.At(aNow);
-  const MembershipChange change = self.membership_.Observe(aHeartbeat, heardAt);
+  const Instant awakeAt = self.awakeClock_.At(aNow);
+  const MembershipChange change = self.membership_.Observe(aHeartbeat, awakeAt);
   if (change == MembershipChange::Stale) {
     return change;
   }
@@ -627,7 +627,7 @@
     self.SidesOf(service).Remove(id);
     service = aHeartbeat.service_;
   }
-  self.SidesOf(service).Observe(aHeartbeat, heardAt + kSideSilence, aNow);
+  self.SidesOf(service).Observe(aHeartbeat, awakeAt + kSideSilence, aNow);
   return change;
 }
 
@@ -786,8 +786,8 @@
 {
   std::vector<EntryAction> actions;
   Private& self = *private_;
-  const auto sent = self.sent_.find(aSideId);
-  if (sent == self.sent_.end()) {
+  const auto sent = self.inFlightBySide_.find(aSideId);
+  if (sent == self.inFlightBySide_.end()) {
     return actions;
   }
   const std::set<std::string> hit = std::exchange(sent->second, {});
--- a/Source/Request/ExplainVerdict.cxx
+++ b/Source/Request/ExplainVerdict.cxx
@@ -15,7 +15,7 @@
   std::set<std::string> dispatched_;
   std::set<std::string> refused_;
 
-  void Take(const RequestStep& aStep)
+  void Add(const RequestStep& aStep)
   {
     if (aStep.verdict_ == Verdict::Ran) {
       ran_ = &aStep;
@@ -44,7 +44,7 @@
 {
   Evidence evidence;
   for (const RequestStep& step : aSteps) {
-    evidence.Take(step);
+    evidence.Add(step);
   }
   if (evidence.ran_ != nullptr) {
     return { Verdict::Ran, evidence.ran_->host_ + " saw it run." };
--- a/Source/Request/OutcomeWriter.cxx
+++ b/Source/Request/OutcomeWriter.cxx
@@ -114,8 +114,8 @@
     return std::nullopt;
   }
   const bool applied = aResult.outcome_ == ClaimWrite::Applied;
-  const bool ours = applied || aResult.record_.requestId_ == aRequestId;
-  if (!ours) {
+  const bool ownsKey = applied || aResult.record_.requestId_ == aRequestId;
+  if (!ownsKey) {
     // The claim write had no effect, and another request owns the key now.
     Forget(aRequestId);
     return std::nullopt;
--- a/Source/Request/OutlierTracker.cxx
+++ b/Source/Request/OutlierTracker.cxx
@@ -55,9 +55,9 @@
     ++ejected_;
     aEntry.ejected_ = true;
   }
-  aEntry.ejection_ = std::clamp(
-    aEntry.ejection_ * 2, rules_.firstEjection_, rules_.maxEjection_);
-  aEntry.probeAt_ = aNow + aEntry.ejection_;
+  aEntry.ejectionTime_ = std::clamp(
+    aEntry.ejectionTime_ * 2, rules_.minEjectionTime_, rules_.maxEjectionTime_);
+  aEntry.probeAt_ = aNow + aEntry.ejectionTime_;
   aEntry.probing_ = false;
   aEntry.samples_ = 0;
   aEntry.meanMicros_ = 0;
@@ -111,7 +111,7 @@
   if (entry.ejected_ && entry.probeAt_ <= aNow) {
     // Sends one probe per ejection period, so that a runner that never answers
     // receives few requests.
-    entry.probeAt_ = aNow + entry.ejection_;
+    entry.probeAt_ = aNow + entry.ejectionTime_;
     entry.probing_ = true;
   }
 }
--- a/Source/Request/OutlierTracker.h
+++ b/Source/Request/OutlierTracker.h
@@ -24,8 +24,8 @@
     double latencyRatio_ = 2.5;
     std::uint32_t minSamples_ = 20;
     double maxEjectedFraction_ = 0.3;
-    Millis firstEjection_{ 1000 };
-    Millis maxEjection_{ 30000 };
+    Millis minEjectionTime_{ 1000 };
+    Millis maxEjectionTime_{ 30000 };
   };
 
   explicit OutlierTracker(const Rules& aRules);
@@ -53,7 +53,7 @@
     std::uint32_t failures_ = 0;
     std::uint32_t samples_ = 0;
     double meanMicros_ = 0;
-    Millis ejection_{ 0 };
+    Millis ejectionTime_{ 0 };
     /** Earliest time of the next probe. */
     Instant probeAt_;
   };
--- a/Source/Request/Routing.cxx
+++ b/Source/Request/Routing.cxx
@@ -17,13 +17,13 @@
 constexpr double kLatencySmoothing = 0.05;
 /** Minimum number of answers before a mean latency describes the runner. With
  * fewer, the mean depends on the individual requests. */
-constexpr std::uint32_t kFewAnswers = 20;
+constexpr std::uint32_t kMinAnswers = 20;
 constexpr double kFleetSmoothing = 0.005;
 constexpr double kOthersSmoothing = 0.3;
 
 /** Small random generator, seeded with the caller's random number. */
 std::uint64_t
-NextDraw(std::uint64_t& aState)
+DrawRandom(std::uint64_t& aState)
 {
   aState += 0x9e3779b97f4a7c15ULL;
   std::uint64_t mixed = aState;
@@ -37,16 +37,16 @@
   bool present_ = false;
   bool sameDataCentre_ = false;
   double slots_ = 1;
-  double own_ = 0;
+  double ownLoad_ = 0;
   /** Smoothed load from others: reported load minus own load. */
-  double others_ = 0;
+  double othersLoad_ = 0;
   bool reported_ = false;
   double latencyMicros_ = 0;
   std::uint32_t answers_ = 0;
   /** Ring buffer of own load per time step. */
   std::array<float, kHistorySteps> history_{};
   std::int64_t lastStep_ = 0;
-  std::size_t place_ = 0;
+  std::size_t presentIndex_ = 0;
 };
 
 std::int64_t
@@ -69,7 +69,7 @@
   const std::int64_t first = std::max(
     aState.lastStep_ + 1, step - static_cast<std::int64_t>(kHistorySteps) + 1);
   for (std::int64_t passed = first; passed <= step; ++passed) {
-    aState.history_[SlotOf(passed)] = static_cast<float>(aState.own_);
+    aState.history_[SlotOf(passed)] = static_cast<float>(aState.ownLoad_);
   }
   aState.lastStep_ = std::max(aState.lastStep_, step);
 }
@@ -113,7 +113,7 @@
 double
 Router::Private::Cost(const RunnerState& aState) const
 {
-  const double load = aState.own_ + aState.others_;
+  const double load = aState.ownLoad_ + aState.othersLoad_;
   const double wait = std::max(0.0, load + 1 - aState.slots_) / aState.slots_;
   const double used = (load + 1) / aState.slots_;
   const double crossing =
@@ -123,7 +123,7 @@
   // A new runner is assumed to be as slow as the fleet. If it were assumed to
   // be faster, it would get every request until its first answers.
   const double latency =
-    aState.answers_ < kFewAnswers ? fleetMicros_ : aState.latencyMicros_;
+    aState.answers_ < kMinAnswers ? fleetMicros_ : aState.latencyMicros_;
   // The ratio to the fleet is squared: one request on a runner that is twice as
   // slow is far more likely to end in the latency tail than two requests on
   // slightly slow runners.
@@ -135,7 +135,7 @@
 {
   RunnerState& state = runners_[aRunner];
   Advance(state, aNow);
-  state.own_ = std::max(0.0, state.own_ - 1);
+  state.ownLoad_ = std::max(0.0, state.ownLoad_ - 1);
 }
 
 Router::Router(const Rules& aRules)
@@ -164,7 +164,7 @@
   state.present_ = true;
   state.sameDataCentre_ = aSameDataCentre;
   state.slots_ = std::max<std::uint32_t>(1, aSlots);
-  state.place_ = self.present_.size();
+  state.presentIndex_ = self.present_.size();
   self.present_.push_back(number);
   self.outliers_.Reset(number);
   return number;
@@ -176,8 +176,8 @@
   Private& self = *private_;
   RunnerState& state = self.runners_[aRunner];
   const Runner last = self.present_.back();
-  self.present_[state.place_] = last;
-  self.runners_[last].place_ = state.place_;
+  self.present_[state.presentIndex_] = last;
+  self.runners_[last].presentIndex_ = state.presentIndex_;
   self.present_.pop_back();
   state.present_ = false;
   self.outliers_.Forget(aRunner);
@@ -197,9 +197,10 @@
     std::max(0.0,
              static_cast<double>(aReport.busy_ + aReport.queued_) -
                OwnLoadAt(state, aReport.measuredAt_));
-  state.others_ = state.reported_ ? state.others_ + kOthersSmoothing *
-                                                      (others - state.others_)
-                                  : others;
+  state.othersLoad_ =
+    state.reported_
+      ? state.othersLoad_ + kOthersSmoothing * (others - state.othersLoad_)
+      : others;
   state.reported_ = true;
 }
 
@@ -220,10 +221,10 @@
   // Walks from a random start with a random stride, without an allocation.
   // After the sampled runners the walk continues only while none of them is
   // usable.
-  const std::size_t start = aRandom == 0 ? 0 : NextDraw(draws) % count;
+  const std::size_t start = aRandom == 0 ? 0 : DrawRandom(draws) % count;
   for (std::size_t step = 0; step < count; ++step) {
     const std::size_t index = drawn < self.rules_.sampleSize_ && count > 16
-                                ? NextDraw(draws) % count
+                                ? DrawRandom(draws) % count
                                 : (start + step) % count;
     const Runner runner = self.present_[index];
     const bool excluded =
@@ -254,7 +255,7 @@
 {
   RunnerState& state = private_->runners_[aRunner];
   Advance(state, aNow);
-  ++state.own_;
+  ++state.ownLoad_;
   private_->outliers_.OnSent(aRunner, aNow);
 }
 
@@ -290,7 +291,7 @@
 Router::EstimatedLoad(Runner aRunner, Instant) const
 {
   const RunnerState& state = private_->runners_[aRunner];
-  return state.own_ + state.others_;
+  return state.ownLoad_ + state.othersLoad_;
 }
 
 }
--- a/Source/Request/SideCore.cxx
+++ b/Source/Request/SideCore.cxx
@@ -53,7 +53,7 @@
 public:
   explicit Private(const Limits& aLimits)
     : limits_(aLimits)
-    , serviceMicros_(static_cast<double>(aLimits.expectedService_.count()))
+    , serviceMicros_(static_cast<double>(aLimits.assumedServiceTime_.count()))
   {
   }
 
--- a/Source/Request/SideCore.h
+++ b/Source/Request/SideCore.h
@@ -77,7 +77,7 @@
      * the 128 MB of the process. */
     std::size_t maxQueuedBytes_ = 16U << 20U;
     /** Assumed service time at the upstream until answers are measured. */
-    Micros expectedService_{ 20000 };
+    Micros assumedServiceTime_{ 20000 };
     /** Maximum number of ended upstream incarnations that are stored. */
     std::size_t maxEndedIncarnations_ = 64;
     /** Time past its deadline for which the call of an at-most-once request
--- a/Tests/Golden/VirtualCluster.cxx
+++ b/Tests/Golden/VirtualCluster.cxx
@@ -22,7 +22,7 @@
 constexpr Micros kTableHop{ 2000 };
 constexpr Micros kSlowTable{ 300000 };
 constexpr Micros kLateTable{ 3000000 };
-constexpr Micros kLateEcho{ 900000 };
+constexpr Micros kEchoDelay{ 900000 };
 constexpr Micros kEntryTick{ 10000 };
 constexpr Micros kSideTick{ 50000 };
 constexpr Micros kHeartbeat{ 200000 };
@@ -35,7 +35,7 @@
 /** Maximum delay of an answer after the deadline, if the entry is alive. */
 constexpr Millis kAnswerSlack{ 30 };
 constexpr std::size_t kMaxShownBodyBytes = 60;
-constexpr std::string_view kRetryLabel = "again-";
+constexpr std::string_view kRetryLabelPrefix = "again-";
 /**
  * Promise 7: maximum time after the start of its leave in which an upstream
  * gets new attempts. A leave that is reported to the side takes effect at once;
@@ -116,7 +116,7 @@
   bool up_ = false;
   bool blocked_ = false;
   bool stalled_ = false;
-  bool doubles_ = false;
+  bool duplicates_ = false;
   std::uint64_t generation_ = 0;
   LinkId id_ = 0;
   std::deque<std::function<void()>> held_;
@@ -170,7 +170,7 @@
   notRun_ += aOther.notRun_;
   mayHaveRun_ += aOther.mayHaveRun_;
   unanswered_ += aOther.unanswered_;
-  doubled_ += aOther.doubled_;
+  ranTwice_ += aOther.ranTwice_;
   falseNotRun_ += aOther.falseNotRun_;
   explainedUnknown_ += aOther.explainedUnknown_;
   tableWrites_ += aOther.tableWrites_;
@@ -184,7 +184,7 @@
   std::ostringstream text;
   text << "sent " << sent_ << ", run " << run_ << ", answered " << answered_
        << ", not run " << notRun_ << ", may have run " << mayHaveRun_
-       << ", untold " << unanswered_ << ", doubled " << doubled_
+       << ", untold " << unanswered_ << ", doubled " << ranTwice_
        << ", false \"not run\" " << falseNotRun_ << ", explained in doubt "
        << explainedUnknown_ << ", table writes " << tableWrites_ << " for "
        << atMostOnce_ << " at-most-once requests";
@@ -217,7 +217,7 @@
   void StartSide(const std::string& aName);
   void StartUpstream(const std::string& aSide);
   void KillUpstream(const std::string& aSide);
-  void Leave(SideNode& aSide, const std::string& aHow);
+  void Leave(SideNode& aSide, const std::string& aLeaveKind);
   void EndLeaving(Upstream& aUpstream);
   void Goodbye(const std::string& aSide, bool aLost);
   void Send(const Words& aWords);
@@ -239,7 +239,7 @@
   void Heartbeat(const std::string& aName, std::uint64_t aIncarnation);
   void SendHeartbeat(SideNode& aSide);
   void Announce(const std::string& aSide, std::uint64_t aIncarnation);
-  void CarryAnnouncement(const std::string& aSide);
+  void DeliverAnnouncement(const std::string& aSide);
   void RunEntry(EntryNode& aEntry, const std::vector<EntryAction>& aActions);
   void RunSide(SideNode& aSide, const std::vector<SideAction>& aActions);
   void Do(EntryNode& aEntry, const SendDispatch& aAction);
@@ -274,9 +274,9 @@
 
   // The checks.
   void Check();
-  void CheckTold(const Caller& aCaller);
+  void CheckAnswer(const Caller& aCaller);
   void CheckExplain(const Caller& aCaller);
-  void AddViolation(const std::string& aText) { broken_.push_back(aText); }
+  void AddViolation(const std::string& aText) { violations_.push_back(aText); }
 
   EntryNode* FindEntry(const std::string& aName, std::uint64_t aIncarnation)
   {
@@ -323,7 +323,7 @@
   std::map<std::string, std::string> expected_;
   bool entryKilled_ = false;
   SessionCounts counts_;
-  std::vector<std::string> broken_;
+  std::vector<std::string> violations_;
   std::map<std::string, std::vector<std::int64_t>> leaving_;
 };
 
@@ -392,7 +392,7 @@
   } else if (verb == "unblock") {
     LinkOf(first, second).blocked_ = false;
   } else if (verb == "double") {
-    LinkOf(first, second).doubles_ = true;
+    LinkOf(first, second).duplicates_ = true;
   } else if (verb == "stall") {
     Stall(LinkOf(first, second), true);
   } else if (verb == "unstall") {
@@ -425,7 +425,7 @@
   } else if (verb == "table") {
     tableMode_ = first;
   } else if (verb == "announce") {
-    CarryAnnouncement(first);
+    DeliverAnnouncement(first);
   } else if (verb == "goodbye-old") {
     SideNode& side = sides_.at(first);
     RunSide(side,
@@ -510,14 +510,14 @@
 }
 
 void
-VirtualCluster::Private::Leave(SideNode& aSide, const std::string& aHow)
+VirtualCluster::Private::Leave(SideNode& aSide, const std::string& aLeaveKind)
 {
   Upstream& upstream = aSide.upstream_;
   if (upstream.leaving_ || !upstream.alive_) {
     return;
   }
   upstream.leaving_ = true;
-  upstream.leaveKind_ = aHow;
+  upstream.leaveKind_ = aLeaveKind;
   upstream.leavingSince_ = now_;
   upstream.sideFroze_ = aSide.frozen_;
   upstream.lastCallAfter_ = 0;
@@ -530,21 +530,21 @@
     return;
   }
   aUpstream.leaving_ = false;
-  const std::string& how = aUpstream.leaveKind_;
+  const std::string& leaveKind = aUpstream.leaveKind_;
   const std::string frozen = aUpstream.sideFroze_ ? ", side frozen" : "";
-  leaving_[how + frozen].push_back(aUpstream.lastCallAfter_);
-  const bool detected = how == "silence" || how == "lost goodbye";
+  leaving_[leaveKind + frozen].push_back(aUpstream.lastCallAfter_);
+  const bool detected = leaveKind == "silence" || leaveKind == "lost goodbye";
   // Includes an announcement in flight when the upstream stopped announcing.
-  const Millis heard =
+  const Millis announcedAfter =
     std::max(Millis(0),
              std::chrono::ceil<Millis>(aUpstream.announcedAt_ -
                                        aUpstream.leavingSince_));
   const Millis bound =
-    detected ? heard + kDetectedLeaveTimeout : kReportedLeaveTimeout;
+    detected ? announcedAfter + kDetectedLeaveTimeout : kReportedLeaveTimeout;
   if (!aUpstream.sideFroze_ && aUpstream.lastCallAfter_ > bound.count()) {
     AddViolation("An upstream got a new call " +
                  std::to_string(aUpstream.lastCallAfter_) + " ms after its " +
-                 how + ".");
+                 leaveKind + ".");
   }
 }
 
@@ -898,7 +898,7 @@
   };
   After(kHop, carry);
   if (aSide.echo_) {
-    After(kLateEcho, carry);
+    After(kEchoDelay, carry);
   }
 }
 
@@ -910,13 +910,13 @@
   if (!upstream.announces_ || upstream.incarnation_ != aIncarnation) {
     return;
   }
-  CarryAnnouncement(aSide);
+  DeliverAnnouncement(aSide);
   After(kAnnounce,
         [this, aSide, aIncarnation] { Announce(aSide, aIncarnation); });
 }
 
 void
-VirtualCluster::Private::CarryAnnouncement(const std::string& aSide)
+VirtualCluster::Private::DeliverAnnouncement(const std::string& aSide)
 {
   const Upstream& upstream = sides_.at(aSide).upstream_;
   Announcement announcement;
@@ -1001,7 +1001,7 @@
     return;
   }
   After(kHop, arrive);
-  if (link.doubles_) {
+  if (link.duplicates_) {
     After(kHop * 3, arrive);
   }
 }
@@ -1297,23 +1297,23 @@
 }
 
 void
-VirtualCluster::Private::CheckTold(const Caller& aCaller)
+VirtualCluster::Private::CheckAnswer(const Caller& aCaller)
 {
-  const std::string who = "caller " + aCaller.label_;
+  const std::string callerName = "caller " + aCaller.label_;
   const bool excused = aCaller.entryDied_ || aCaller.hungUp_;
   if (aCaller.answers_.empty()) {
     ++counts_.unanswered_;
     if (!excused) {
-      AddViolation(who + " never got an answer.");
+      AddViolation(callerName + " never got an answer.");
     }
     return;
   }
   if (aCaller.answers_.size() > 1) {
-    AddViolation(who + " got two answers.");
+    AddViolation(callerName + " got two answers.");
   }
   const bool late = aCaller.answeredAt_ > aCaller.deadline_ + kAnswerSlack;
   if (late && !aCaller.entryFroze_) {
-    AddViolation(who + " got its answer only after the deadline.");
+    AddViolation(callerName + " got its answer after the deadline.");
   }
   const AnswerCaller& told = aCaller.answers_.front();
   const std::uint64_t runs = runsByRequest_[aCaller.requestId_];
@@ -1321,30 +1321,33 @@
     ++counts_.notRun_;
     if (runs > 0) {
       ++counts_.falseNotRun_;
-      AddViolation(who + " was told \"did not run\", but it ran.");
+      AddViolation(callerName + " got \"did not run\", but the request ran.");
     }
     if (told.retryAfter_.count() == 0 && told.status_ != 422) {
-      AddViolation(who + " was not told when to come back.");
+      AddViolation(callerName + " got no retry delay.");
     }
   } else if (told.verdict_ == Verdict::MayHaveRun) {
     ++counts_.mayHaveRun_;
   } else {
     ++counts_.answered_;
     if (runsByKey_[aCaller.key_] == 0) {
-      AddViolation(who + " was told \"ran\", but it did not run.");
+      AddViolation(callerName + " got \"ran\", but the request did not run.");
     }
   }
   if (told.status_ != 200) {
     return;
   }
-  std::string whole = "ran ";
-  whole.append(aCaller.requestId_).append(" with ").append(aCaller.payload_);
-  const bool own = told.body_ == whole;
+  std::string expectedBody = "ran ";
+  expectedBody.append(aCaller.requestId_)
+    .append(" with ")
+    .append(aCaller.payload_);
+  const bool own = told.body_ == expectedBody;
   const bool replayed = !aCaller.idempotent_ && runs == 0 &&
                         told.body_ == bodyByKey_[aCaller.key_] &&
                         told.body_.ends_with(" with " + aCaller.payload_);
   if (!own && !replayed) {
-    AddViolation(who + " got an answer that is not its own: " + told.body_);
+    AddViolation(callerName +
+                 " got the answer to another request: " + told.body_);
   }
 }
 
@@ -1390,21 +1393,21 @@
     if (label.empty()) {
       continue;
     }
-    CheckTold(caller);
+    CheckAnswer(caller);
     CheckExplain(caller);
     if (!caller.idempotent_) {
       onceKeys.insert(caller.key_);
     }
-    const bool toldNotRun =
+    const bool answeredNotRun =
       !caller.answers_.empty() &&
       caller.answers_.front().verdict_ == Verdict::DidNotRun;
-    if (!toldNotRun && !label.starts_with(kRetryLabel)) {
+    if (!answeredNotRun && !label.starts_with(kRetryLabelPrefix)) {
       keysWithUnknownOutcome.insert(caller.key_);
     }
   }
   for (const std::string& key : onceKeys) {
     if (runsByKey_[key] > 1) {
-      ++counts_.doubled_;
+      ++counts_.ranTwice_;
       AddViolation("Key " + key + " ran " + std::to_string(runsByKey_[key]) +
                    " times.");
     }
@@ -1416,7 +1419,7 @@
     std::replace(got.begin(), got.end(), ' ', '-');
     if (got != (expected == "not-run" ? "did-not-run" : expected)) {
       std::ostringstream text;
-      text << "caller " << label << " was told " << got << ", not " << expected
+      text << "caller " << label << " got " << got << ", expected " << expected
            << ".";
       AddViolation(text.str());
     }
@@ -1425,11 +1428,11 @@
   for (const auto& [label, caller] : callers_) {
     const bool ran = !caller.answers_.empty() &&
                      caller.answers_.front().verdict_ == Verdict::Ran;
-    if (label.starts_with(kRetryLabel) && !ran && !entryKilled_ &&
+    if (label.starts_with(kRetryLabelPrefix) && !ran && !entryKilled_ &&
         !keysWithUnknownOutcome.contains(caller.key_)) {
       AddViolation(
         "Key " + caller.key_ +
-        " is blocked: all were told \"did not run\", but its retry after "
+        " is blocked: all callers got \"did not run\", but the retry after "
         "the faults did not run either.");
     }
   }
@@ -1464,7 +1467,7 @@
   }
   self.Check();
   self.AddLine("counts: " + self.counts_.Text());
-  for (const std::string& sentence : self.broken_) {
+  for (const std::string& sentence : self.violations_) {
     self.AddLine("BROKEN: " + sentence);
   }
 }
@@ -1484,7 +1487,7 @@
 const std::vector<std::string>&
 VirtualCluster::Broken() const
 {
-  return private_->broken_;
+  return private_->violations_;
 }
 
 const std::map<std::string, std::vector<std::int64_t>>&
--- a/Tests/Golden/VirtualCluster.h
+++ b/Tests/Golden/VirtualCluster.h
@@ -20,7 +20,7 @@
   /** Requests without an answer because the entry died or the caller hung up.
    */
   std::uint64_t unanswered_ = 0;
-  std::uint64_t doubled_ = 0;
+  std::uint64_t ranTwice_ = 0;
   std::uint64_t falseNotRun_ = 0;
   std::uint64_t explainedUnknown_ = 0;
   std::uint64_t tableWrites_ = 0;
--- a/Tests/Unit/AdmissionTest.cxx
+++ b/Tests/Unit/AdmissionTest.cxx
@@ -28,7 +28,7 @@
 }
 
 Admission
-Small(std::size_t aMaxWaiting)
+SmallQueue(std::size_t aMaxWaiting)
 {
   Admission::Rules rules;
   rules.maxWaiting_ = aMaxWaiting;
@@ -41,7 +41,7 @@
 // seconds, although the queue already exceeds their deadline on arrival.
 Test(Admission, RefusesRequestThatCannotMeetItsDeadline)
 {
-  Admission admission = Small(100);
+  Admission admission = SmallQueue(100);
   const Admission::Tenant tenant = admission.AddTenant(1);
   for (int count = 0; count < 50; ++count) {
     Admit(admission, tenant, Urgency::Normal);
@@ -50,23 +50,23 @@
   cr_assert(std::holds_alternative<Admission::Refused>(late));
   const Instant retryAt = std::get<Admission::Refused>(late).retryAt_;
   cr_assert(retryAt == At(1000), "50 ahead of one slot at 20 ms each");
-  const auto patient =
+  const auto laterDeadline =
     admission.Offer(tenant, Urgency::Normal, At(2000), At(0));
-  cr_assert(std::holds_alternative<Admission::Admitted>(patient));
+  cr_assert(std::holds_alternative<Admission::Admitted>(laterDeadline));
 }
 
 // Guards against one tenant's burst filling the queue, so that the requests of
 // all other tenants are refused.
 Test(Admission, FullQueueShedsTheTenantBeyondItsShare)
 {
-  Admission admission = Small(4);
-  const Admission::Tenant flood = admission.AddTenant(1);
+  Admission admission = SmallQueue(4);
+  const Admission::Tenant burst = admission.AddTenant(1);
   const Admission::Tenant quiet = admission.AddTenant(1);
   Admission::Ticket last;
   for (int count = 0; count < 4; ++count) {
-    last = Admit(admission, flood, Urgency::Normal);
+    last = Admit(admission, burst, Urgency::Normal);
   }
-  cr_assert(IsRefused(admission, flood, Urgency::Normal));
+  cr_assert(IsRefused(admission, burst, Urgency::Normal));
   const auto decision =
     admission.Offer(quiet, Urgency::Normal, At(60000), At(0));
   const auto& admitted = std::get<Admission::Admitted>(decision);
@@ -77,7 +77,7 @@
 
 Test(Admission, FullQueueShedsTheLessUrgentFirst)
 {
-  Admission admission = Small(2);
+  Admission admission = SmallQueue(2);
   const Admission::Tenant tenant = admission.AddTenant(1);
   Admit(admission, tenant, Urgency::Normal);
   const Admission::Ticket low = Admit(admission, tenant, Urgency::Low);
@@ -89,7 +89,7 @@
 
 Test(Admission, NextIsTheMostUrgentThenTheLeastServedTenant)
 {
-  Admission admission = Small(10);
+  Admission admission = SmallQueue(10);
   const Admission::Tenant one = admission.AddTenant(1);
   const Admission::Tenant two = admission.AddTenant(1);
   const Admission::Ticket first = Admit(admission, one, Urgency::Normal);
@@ -109,12 +109,12 @@
 // request reuses the queue index of the cancelled one.
 Test(Admission, LateCancelDoesNotRemoveTheNextRequest)
 {
-  Admission admission = Small(10);
+  Admission admission = SmallQueue(10);
   const Admission::Tenant tenant = admission.AddTenant(1);
   const Admission::Ticket gone = Admit(admission, tenant, Urgency::Normal);
   admission.Cancel(gone);
   const Admission::Ticket next = Admit(admission, tenant, Urgency::Normal);
-  cr_assert_eq(next.place_, gone.place_);
+  cr_assert_eq(next.index_, gone.index_);
   admission.Cancel(gone);
   cr_assert_eq(admission.Waiting(), 1);
 }
@@ -123,7 +123,7 @@
 // can run after a burst of cancellations.
 Test(Admission, CancelReleasesSlots)
 {
-  Admission admission = Small(1000);
+  Admission admission = SmallQueue(1000);
   const Admission::Tenant tenant = admission.AddTenant(1);
   admission.SetSlots(8);
   std::vector<Admission::Ticket> tickets;
@@ -146,7 +146,7 @@
 
 Test(Admission, ExpiredRequestsAreNotSent)
 {
-  Admission admission = Small(10);
+  Admission admission = SmallQueue(10);
   const Admission::Tenant tenant = admission.AddTenant(1);
   const Admission::Ticket ticket = Admit(admission, tenant, Urgency::Normal);
   std::vector<Admission::Ticket> expired;
--- a/Tests/Unit/ClaimBatcherTest.cxx
+++ b/Tests/Unit/ClaimBatcherTest.cxx
@@ -39,12 +39,12 @@
   {
     ++transactions_;
     std::vector<ClaimBatcher::RefusedRow> refused;
-    for (std::size_t place = 0; place < batch_->writes_.size(); ++place) {
-      const WriteClaim& write = batch_->writes_[place];
+    for (std::size_t index = 0; index < batch_->writes_.size(); ++index) {
+      const WriteClaim& write = batch_->writes_[index];
       const ClaimWriteResult& row = rows_[write.key_];
       if (row.revision_ != write.expectedRevision_) {
         refused.emplace_back(
-          place,
+          index,
           ClaimWriteResult{ ClaimWrite::Refused, row.revision_, row.record_ });
       }
     }
--- a/Tests/Unit/EntryCoreTest.cxx
+++ b/Tests/Unit/EntryCoreTest.cxx
@@ -28,7 +28,7 @@
 }
 
 RequestFacts
-Valuation(int aNumber, Instant aNow)
+IdempotentRequest(int aNumber, Instant aNow)
 {
   RequestFacts facts;
   facts.requestId_ = "r" + std::to_string(aNumber);
@@ -49,8 +49,8 @@
         ++dispatched_;
         open_.push_back(*dispatch);
       } else if (const auto* answer = std::get_if<AnswerCaller>(&action)) {
-        ++told_;
-        toldToComeBack_ += answer->retryAfter_.count() > 0 ? 1 : 0;
+        ++answered_;
+        answeredWithRetryDelay_ += answer->retryAfter_.count() > 0 ? 1 : 0;
       }
     }
   }
@@ -69,8 +69,8 @@
   }
 
   int dispatched_ = 0;
-  int told_ = 0;
-  int toldToComeBack_ = 0;
+  int answered_ = 0;
+  int answeredWithRetryDelay_ = 0;
 
 private:
   std::deque<SendDispatch> open_;
@@ -95,11 +95,11 @@
                          now);
       }
     }
-    sides.Take(core.OnRequest(Valuation(request, now), now));
+    sides.Take(core.OnRequest(IdempotentRequest(request, now), now));
     sides.Refuse(core, now);
   }
-  cr_assert(sides.told_ == kRequests);
-  cr_assert(sides.toldToComeBack_ == kRequests);
+  cr_assert(sides.answered_ == kRequests);
+  cr_assert(sides.answeredWithRetryDelay_ == kRequests);
   cr_assert(sides.dispatched_ <= kRequests * 5 / 4,
             "%d attempts for %d requests",
             sides.dispatched_,
@@ -125,9 +125,9 @@
 {
   EntryCore core(EntryCore::Limits{});
   core.OnHeartbeat(ReadySide("side1", 1), kStart);
-  RequestFacts payout = Valuation(1, kStart);
-  payout.idempotent_ = false;
-  std::vector<EntryAction> actions = core.OnRequest(payout, kStart);
+  RequestFacts atMostOnce = IdempotentRequest(1, kStart);
+  atMostOnce.idempotent_ = false;
+  std::vector<EntryAction> actions = core.OnRequest(atMostOnce, kStart);
   const WriteClaim first = std::get<WriteClaim>(actions.back());
   cr_assert(!first.alone_);
   actions = core.OnClaimWritten(
@@ -174,18 +174,18 @@
 // order of reading and the length of the stall must not matter.
 Test(EntryCore, OwnStallDoesNotTimeOutSides)
 {
-  for (const int stoodStill : { 400, 1900, 2100, 5000, 60000 }) {
+  for (const int stallMillis : { 400, 1900, 2100, 5000, 60000 }) {
     for (const bool tickFirst : { false, true }) {
       EntryCore core(EntryCore::Limits{});
       TickUntil(core, kStart, kStart + Millis(1000));
       core.OnHeartbeat(ReadySide("side1", 1), kStart + Millis(1000));
-      const Instant now = kStart + Millis(1000 + stoodStill);
+      const Instant now = kStart + Millis(1000 + stallMillis);
       if (tickFirst) {
         core.OnTick(now);
       }
-      cr_assert(IsDispatched(core.OnRequest(Valuation(1, now), now)),
+      cr_assert(IsDispatched(core.OnRequest(IdempotentRequest(1, now), now)),
                 "The request was refused after %d ms.",
-                stoodStill);
+                stallMillis);
     }
   }
 }
@@ -200,7 +200,7 @@
   const Instant sent = kStart + Millis(1000);
   core.OnHeartbeat(ReadySide("side1", 1), sent);
   core.OnHeartbeat(ReadySide("side2", 1), sent);
-  RequestFacts facts = Valuation(1, sent);
+  RequestFacts facts = IdempotentRequest(1, sent);
   facts.deadline_ = sent + Millis(10000);
   const std::vector<EntryAction> actions = core.OnRequest(facts, sent);
   cr_assert(IsDispatched(actions));
@@ -223,10 +223,11 @@
   core.OnTick(awake);
   TickUntil(core, awake, awake + Millis(1300));
   const Instant now = awake + Millis(1400);
-  cr_assert_not(IsDispatched(core.OnRequest(Valuation(1, now), now)));
+  cr_assert_not(IsDispatched(core.OnRequest(IdempotentRequest(1, now), now)));
 
   EntryCore other(EntryCore::Limits{});
   other.OnHeartbeat(ReadySide("gone", 1), kStart);
   TickUntil(other, kStart, kStart + Millis(2500));
-  cr_assert_not(IsDispatched(other.OnRequest(Valuation(2, awake), awake)));
+  cr_assert_not(
+    IsDispatched(other.OnRequest(IdempotentRequest(2, awake), awake)));
 }
--- a/Tests/Unit/SideCoreTest.cxx
+++ b/Tests/Unit/SideCoreTest.cxx
@@ -29,14 +29,14 @@
   }
 
   /** Whether the side accepted the attempt. */
-  bool Dispatch(Millis aLeft, std::size_t aBodyBytes = 10)
+  bool Dispatch(Millis aRemaining, std::size_t aBodyBytes = 10)
   {
     DispatchMessage message;
     message.requestId_ = "r" + std::to_string(next_);
     message.attemptId_ = "r" + std::to_string(next_++) + ".1";
     message.upstreamIncarnation_ = 1;
     message.remainingMicros_ =
-      static_cast<std::uint64_t>(Micros(aLeft).count());
+      static_cast<std::uint64_t>(Micros(aRemaining).count());
     message.body_ = std::string(aBodyBytes, 'x');
     const std::size_t before = refused_;
     Take(core_.OnDispatch(1, message, now_));
