--- a/Source/Request/Admission.cxx
+++ b/Source/Request/Admission.cxx
@@ -91,16 +91,16 @@
 std::uint32_t
 Admission::Append(Tenant aTenant, Urgency aUrgency, Instant aDeadline)
 {
-  auto place = static_cast<std::uint32_t>(entries_.size());
+  auto index = static_cast<std::uint32_t>(entries_.size());
   if (free_.empty()) {
     entries_.emplace_back();
   } else {
-    place = free_.back();
+    index = free_.back();
     free_.pop_back();
   }
   TenantState& tenant = tenants_[aTenant];
   Queue& queue = tenant.queues_[static_cast<std::size_t>(aUrgency)];
-  Entry& entry = entries_[place];
+  Entry& entry = entries_[index];
   entry.state_ = State::Waiting;
   entry.urgency_ = aUrgency;
   entry.tenant_ = aTenant;
@@ -108,14 +108,14 @@
   entry.previous_ = queue.tail_;
   entry.next_ = kNone;
   if (queue.tail_ == kNone) {
-    queue.head_ = place;
+    queue.head_ = index;
   } else {
-    entries_[queue.tail_].next_ = place;
+    entries_[queue.tail_].next_ = index;
   }
-  queue.tail_ = place;
+  queue.tail_ = index;
   ++tenant.waiting_;
   ++waiting_;
-  return place;
+  return index;
 }
 
 void
@@ -162,12 +162,12 @@
     // Requests of the same urgency are shed only for a tenant that stays below
     // the victim's usage with one more request; otherwise two tenants would
     // shed each other's requests in turn.
-    double most = level == own ? excess(tenants_[aTenant], 1) : -1;
+    double maxExcess = level == own ? excess(tenants_[aTenant], 1) : -1;
     for (const TenantState& tenant : tenants_) {
       const std::uint32_t last = tenant.queues_[level].tail_;
-      if (last != kNone && excess(tenant, 0) > most) {
+      if (last != kNone && excess(tenant, 0) > maxExcess) {
         victim = last;
-        most = excess(tenant, 0);
+        maxExcess = excess(tenant, 0);
       }
     }
     if (victim.has_value()) {
@@ -181,14 +181,14 @@
 Admission::NextTenant(std::size_t aUrgency) const
 {
   std::optional<Tenant> best;
-  double least = 0;
+  double lowestUsage = 0;
   for (Tenant number = 0; number < tenants_.size(); ++number) {
     const TenantState& tenant = tenants_[number];
     const double held = tenant.running_ / tenant.share_;
     if (tenant.queues_[aUrgency].head_ != kNone &&
-        (!best.has_value() || held < least)) {
+        (!best.has_value() || held < lowestUsage)) {
       best = number;
-      least = held;
+      lowestUsage = held;
     }
   }
   return best;
@@ -203,15 +203,15 @@
   for (std::size_t level = 0; level < kUrgencies; ++level) {
     for (std::optional<Tenant> tenant = NextTenant(level); tenant.has_value();
          tenant = NextTenant(level)) {
-      const std::uint32_t place = tenants_[*tenant].queues_[level].head_;
-      const Ticket ticket = TicketOf(place);
-      Unlink(place);
-      if (entries_[place].deadline_ <= aNow) {
+      const std::uint32_t index = tenants_[*tenant].queues_[level].head_;
+      const Ticket ticket = TicketOf(index);
+      Unlink(index);
+      if (entries_[index].deadline_ <= aNow) {
         aExpired.push_back(ticket);
-        Free(place);
+        Free(index);
         continue;
       }
-      entries_[place].state_ = State::Running;
+      entries_[index].state_ = State::Running;
       ++tenants_[*tenant].running_;
       ++running_;
       return ticket;
--- a/Source/Request/EntryCore.cxx
+++ b/Source/Request/EntryCore.cxx
@@ -48,7 +48,7 @@
   std::string sideId_;
   ServiceSides::Choice choice_;
   Instant dispatchedAt_;
-  /** Retry delay that is sent to the caller. */
+  /** Earliest retry time of the caller, sent as a delay with the answer. */
   Instant retryAt_;
   /** Sides to which an attempt was sent. */
   ServiceSides::Tried tried_;
--- a/Source/Request/Failure.h
+++ b/Source/Request/Failure.h
@@ -28,7 +28,7 @@
   FailureKind kind_ = FailureKind::Broken;
   Verdict verdict_ = Verdict::MayHaveRun;
   std::string message_;
-  /** Delay before the caller should retry; zero if a retry is useless. */
+  /** Delay before the caller should retry; zero if it should not. */
   std::chrono::milliseconds retryAfter_{ 0 };
 };
 
--- a/Source/Request/RequestStep.h
+++ b/Source/Request/RequestStep.h
@@ -16,7 +16,7 @@
 
 /**
  * One step in the processing of a request or a task, as recorded by a process.
- * The explain command merges the steps of all processes.
+ * The explain command merges the steps of all processes in order.
  */
 struct RequestStep
 {
--- a/Source/Request/ServiceSides.cxx
+++ b/Source/Request/ServiceSides.cxx
@@ -74,8 +74,8 @@
 {
   std::vector<Router::Runner> excluded;
   for (const auto& [id, member] : members_) {
-    const bool silent = member.usableUntil_ <= aAwake;
-    if (silent || aTried.contains({ id, member.incarnation_ })) {
+    const bool unresponsive = member.usableUntil_ <= aAwake;
+    if (unresponsive || aTried.contains({ id, member.incarnation_ })) {
       excluded.push_back(member.runner_);
     }
   }
--- a/Source/Request/SideCore.cxx
+++ b/Source/Request/SideCore.cxx
@@ -212,9 +212,9 @@
 /**
  * Estimates the time for which an attempt that arrives now waits for a slot.
  *
- * The estimate uses the service time of answered attempts, or the time that the
- * running attempts have taken so far: an upstream that hangs gives no answers
- * to measure.
+ * The estimate uses the larger of the service time of answered attempts and the
+ * mean time that the running attempts have taken so far, because an upstream
+ * that hangs gives no answers to measure.
  */
 Micros
 SideCore::Private::ExpectedWait(Instant aNow) const
--- a/Tests/Golden/VirtualCluster.cxx
+++ b/Tests/Golden/VirtualCluster.cxx
@@ -1315,18 +1315,18 @@
   if (late && !aCaller.entryFroze_) {
     AddViolation(callerName + " got its answer after the deadline.");
   }
-  const AnswerCaller& told = aCaller.answers_.front();
+  const AnswerCaller& received = aCaller.answers_.front();
   const std::uint64_t runs = runsByRequest_[aCaller.requestId_];
-  if (told.verdict_ == Verdict::DidNotRun) {
+  if (received.verdict_ == Verdict::DidNotRun) {
     ++counts_.notRun_;
     if (runs > 0) {
       ++counts_.falseNotRun_;
       AddViolation(callerName + " got \"did not run\", but the request ran.");
     }
-    if (told.retryAfter_.count() == 0 && told.status_ != 422) {
+    if (received.retryAfter_.count() == 0 && received.status_ != 422) {
       AddViolation(callerName + " got no retry delay.");
     }
-  } else if (told.verdict_ == Verdict::MayHaveRun) {
+  } else if (received.verdict_ == Verdict::MayHaveRun) {
     ++counts_.mayHaveRun_;
   } else {
     ++counts_.answered_;
@@ -1334,20 +1334,20 @@
       AddViolation(callerName + " got \"ran\", but the request did not run.");
     }
   }
-  if (told.status_ != 200) {
+  if (received.status_ != 200) {
     return;
   }
   std::string expectedBody = "ran ";
   expectedBody.append(aCaller.requestId_)
     .append(" with ")
     .append(aCaller.payload_);
-  const bool own = told.body_ == expectedBody;
+  const bool own = received.body_ == expectedBody;
   const bool replayed = !aCaller.idempotent_ && runs == 0 &&
-                        told.body_ == bodyByKey_[aCaller.key_] &&
-                        told.body_.ends_with(" with " + aCaller.payload_);
+                        received.body_ == bodyByKey_[aCaller.key_] &&
+                        received.body_.ends_with(" with " + aCaller.payload_);
   if (!own && !replayed) {
     AddViolation(callerName +
-                 " got the answer to another request: " + told.body_);
+                 " got the answer to another request: " + received.body_);
   }
 }
 
@@ -1413,9 +1413,9 @@
     }
   }
   for (const auto& [label, expected] : expected_) {
-    const std::vector<AnswerCaller>& told = callers_[label].answers_;
-    std::string got(told.empty() ? "nothing"
-                                 : VerdictText(told.front().verdict_));
+    const std::vector<AnswerCaller>& received = callers_[label].answers_;
+    std::string got(received.empty() ? "nothing"
+                                     : VerdictText(received.front().verdict_));
     std::replace(got.begin(), got.end(), ' ', '-');
     if (got != (expected == "not-run" ? "did-not-run" : expected)) {
       std::ostringstream text;
--- a/Tests/Unit/RoutingTest.cxx
+++ b/Tests/Unit/RoutingTest.cxx
@@ -201,10 +201,10 @@
   sides.OnSent(*old, At(10));
   sides.Observe(Heartbeat("s1", 2), At(9000), At(20));
   sides.Observe(Heartbeat("s2", 1), At(9000), At(20));
-  const auto anew = sides.Choose({ { "s2", 1 } }, 1, At(25), At(25));
-  cr_assert(anew.has_value() && anew->incarnation_ == 2);
+  const auto restarted = sides.Choose({ { "s2", 1 } }, 1, At(25), At(25));
+  cr_assert(restarted.has_value() && restarted->incarnation_ == 2);
   for (int request = 0; request < 8; ++request) {
-    sides.OnSent(*anew, At(30));
+    sides.OnSent(*restarted, At(30));
     sides.OnAnswer(*old, Millis(30), At(40));
   }
   for (std::uint64_t draw = 1; draw <= 50; ++draw) {
