--- a/Source/Request/Admission.cxx
+++ b/Source/Request/Admission.cxx
@@ -13,7 +13,7 @@
 
 Admission::Admission(const Rules& aRules)
   : rules_(aRules)
-  , serviceMicros_(static_cast<double>(aRules.expectedService_.count()))
+  , serviceMicros_(static_cast<double>(aRules.assumedServiceTime_.count()))
 {
 }
 
@@ -49,7 +49,7 @@
   const Instant start = ExpectedStart(aNow);
   const Micros service(std::llround(serviceMicros_));
   if (start + service > aDeadline) {
-    return Refused{ "The request can't be answered before its deadline; it was "
+    return Refused{ "The request can't be answered before its deadline and was "
                     "not started.",
                     start };
   }
@@ -57,9 +57,11 @@
   if (waiting_ >= rules_.maxWaiting_) {
     const std::optional<std::uint32_t> victim = FindVictim(aTenant, aUrgency);
     if (!victim.has_value()) {
-      return Refused{ "Too many requests wait for the service; this one was "
-                      "not started.",
-                      start };
+      return Refused{
+        "Too many requests wait for the service; retry later. This request "
+        "was not started.",
+        start
+      };
     }
     admitted.shed_ = TicketOf(*victim);
     Unlink(*victim);
@@ -70,18 +72,18 @@
 }
 
 Admission::Ticket
-Admission::TicketOf(std::uint32_t aPlace) const
+Admission::TicketOf(std::uint32_t aIndex) const
 {
-  return Ticket{ aPlace, entries_[aPlace].generation_ };
+  return Ticket{ aIndex, entries_[aIndex].generation_ };
 }
 
 Admission::Entry*
 Admission::Find(Ticket aTicket)
 {
-  if (aTicket.place_ >= entries_.size()) {
+  if (aTicket.index_ >= entries_.size()) {
     return nullptr;
   }
-  Entry& entry = entries_[aTicket.place_];
+  Entry& entry = entries_[aTicket.index_];
   const bool same = entry.generation_ == aTicket.generation_;
   return same && entry.state_ != State::Free ? &entry : nullptr;
 }
@@ -89,16 +91,16 @@
 std::uint32_t
 Admission::Append(Tenant aTenant, Urgency aUrgency, Instant aDeadline)
 {
-  auto place = static_cast<std::uint32_t>(entries_.size());
+  auto index = static_cast<std::uint32_t>(entries_.size());
   if (free_.empty()) {
     entries_.emplace_back();
   } else {
-    place = free_.back();
+    index = free_.back();
     free_.pop_back();
   }
   TenantState& tenant = tenants_[aTenant];
   Queue& queue = tenant.queues_[static_cast<std::size_t>(aUrgency)];
-  Entry& entry = entries_[place];
+  Entry& entry = entries_[index];
   entry.state_ = State::Waiting;
   entry.urgency_ = aUrgency;
   entry.tenant_ = aTenant;
@@ -106,20 +108,20 @@
   entry.previous_ = queue.tail_;
   entry.next_ = kNone;
   if (queue.tail_ == kNone) {
-    queue.head_ = place;
+    queue.head_ = index;
   } else {
-    entries_[queue.tail_].next_ = place;
+    entries_[queue.tail_].next_ = index;
   }
-  queue.tail_ = place;
+  queue.tail_ = index;
   ++tenant.waiting_;
   ++waiting_;
-  return place;
+  return index;
 }
 
 void
-Admission::Unlink(std::uint32_t aPlace)
+Admission::Unlink(std::uint32_t aIndex)
 {
-  Entry& entry = entries_[aPlace];
+  Entry& entry = entries_[aIndex];
   TenantState& tenant = tenants_[entry.tenant_];
   Queue& queue = tenant.queues_[static_cast<std::size_t>(entry.urgency_)];
   if (entry.previous_ == kNone) {
@@ -138,14 +140,14 @@
 }
 
 void
-Admission::Free(std::uint32_t aPlace)
+Admission::Free(std::uint32_t aIndex)
 {
-  Entry& entry = entries_[aPlace];
+  Entry& entry = entries_[aIndex];
   entry.state_ = State::Free;
-  // A late cancel or answer for the old request must not hit the next one that
-  // gets this place.
+  // The generation keeps a late cancel or answer for the old request from
+  // affecting the next request that reuses this index.
   ++entry.generation_;
-  free_.push_back(aPlace);
+  free_.push_back(aIndex);
 }
 
 std::optional<std::uint32_t>
@@ -157,14 +159,15 @@
   const auto own = static_cast<std::size_t>(aUrgency);
   for (std::size_t level = kUrgencies; level-- > own;) {
     std::optional<std::uint32_t> victim;
-    // Work of the same urgency gives way only to a tenant that stays below the
-    // victim's with one more; else two tenants would shed each other in turn.
-    double most = level == own ? excess(tenants_[aTenant], 1) : -1;
+    // Requests of the same urgency are shed only for a tenant that stays below
+    // the victim's usage with one more request; otherwise two tenants would
+    // shed each other's requests in turn.
+    double maxExcess = level == own ? excess(tenants_[aTenant], 1) : -1;
     for (const TenantState& tenant : tenants_) {
       const std::uint32_t last = tenant.queues_[level].tail_;
-      if (last != kNone && excess(tenant, 0) > most) {
+      if (last != kNone && excess(tenant, 0) > maxExcess) {
         victim = last;
-        most = excess(tenant, 0);
+        maxExcess = excess(tenant, 0);
       }
     }
     if (victim.has_value()) {
@@ -178,14 +181,14 @@
 Admission::NextTenant(std::size_t aUrgency) const
 {
   std::optional<Tenant> best;
-  double least = 0;
+  double lowestUsage = 0;
   for (Tenant number = 0; number < tenants_.size(); ++number) {
     const TenantState& tenant = tenants_[number];
     const double held = tenant.running_ / tenant.share_;
     if (tenant.queues_[aUrgency].head_ != kNone &&
-        (!best.has_value() || held < least)) {
+        (!best.has_value() || held < lowestUsage)) {
       best = number;
-      least = held;
+      lowestUsage = held;
     }
   }
   return best;
@@ -200,15 +203,15 @@
   for (std::size_t level = 0; level < kUrgencies; ++level) {
     for (std::optional<Tenant> tenant = NextTenant(level); tenant.has_value();
          tenant = NextTenant(level)) {
-      const std::uint32_t place = tenants_[*tenant].queues_[level].head_;
-      const Ticket ticket = TicketOf(place);
-      Unlink(place);
-      if (entries_[place].deadline_ <= aNow) {
+      const std::uint32_t index = tenants_[*tenant].queues_[level].head_;
+      const Ticket ticket = TicketOf(index);
+      Unlink(index);
+      if (entries_[index].deadline_ <= aNow) {
         aExpired.push_back(ticket);
-        Free(place);
+        Free(index);
         continue;
       }
-      entries_[place].state_ = State::Running;
+      entries_[index].state_ = State::Running;
       ++tenants_[*tenant].running_;
       ++running_;
       return ticket;
@@ -218,13 +221,13 @@
 }
 
 void
-Admission::OnDone(Ticket aTicket, Micros aService)
+Admission::OnDone(Ticket aTicket, Micros aServiceTime)
 {
   const Entry* entry = Find(aTicket);
   if (entry == nullptr || entry->state_ != State::Running) {
     return;
   }
-  const auto micros = static_cast<double>(aService.count());
+  const auto micros = static_cast<double>(aServiceTime.count());
   serviceMicros_ += kServiceSmoothing * (micros - serviceMicros_);
   Cancel(aTicket);
 }
@@ -237,12 +240,12 @@
     return;
   }
   if (entry->state_ == State::Waiting) {
-    Unlink(aTicket.place_);
+    Unlink(aTicket.index_);
   } else {
     --tenants_[entry->tenant_].running_;
     --running_;
   }
-  Free(aTicket.place_);
+  Free(aTicket.index_);
 }
 
 std::size_t
--- a/Source/Request/ClaimBatcher.cxx
+++ b/Source/Request/ClaimBatcher.cxx
@@ -21,8 +21,9 @@
 std::optional<ClaimBatcher::Batch>
 ClaimBatcher::Begin(Instant aNow)
 {
-  // A row that the table service can't take fails the transaction that it is
-  // in, each time, and all that share it would end in doubt with it.
+  // A row that the table service can't store fails its transaction on each
+  // attempt, and all other claims in the transaction would get an unknown
+  // outcome.
   const auto alone =
     std::find_if(waiting_.begin(),
                  waiting_.end(),
@@ -30,36 +31,37 @@
   if (alone != waiting_.end()) {
     Batch batch{ nextBatchId_++, { std::move(*alone) }, alone->deadline_ };
     waiting_.erase(alone);
-    underWay_.emplace(batch.id_, batch.writes_);
+    inFlight_.emplace(batch.id_, batch.writes_);
     return batch;
   }
-  // One lost answer would hold up every claim of the lane until it is given
-  // up, and they would be refused for want of time. Beside it they are as true
-  // as without grouping: each row's condition guards it.
-  const bool held =
-    underWay_.contains(lastGroup_) && aNow < lastBegin_ + limits_.patience_;
+  // A lost answer would block every claim of the lane until the call times out,
+  // and the claims would exceed their deadlines. Parallel transactions are safe
+  // because each row's condition guards it.
+  const bool held = inFlight_.contains(lastBatchId_) &&
+                    aNow < lastBegin_ + limits_.answerTimeout_;
   if (held || waiting_.empty() || aNow < nextBegin_) {
     return std::nullopt;
   }
   Batch batch;
   batch.id_ = nextBatchId_++;
   std::set<std::pair<std::string, std::string>> keys;
-  std::deque<WriteClaim> later;
+  std::deque<WriteClaim> deferred;
   for (WriteClaim& write : waiting_) {
-    // Two writes of one key in a transaction: the second's condition would be
-    // read before the first's write, and both would think that they hold it.
+    // Two writes of one key can't share a transaction: the condition of the
+    // second would be checked before the first is written, and both requests
+    // would own the key.
     const bool fits = batch.writes_.size() < limits_.maxRows_ &&
                       keys.emplace(write.tenant_, write.key_).second;
     if (!fits) {
-      later.push_back(std::move(write));
+      deferred.push_back(std::move(write));
       continue;
     }
     batch.deadline_ = std::max(batch.deadline_, write.deadline_);
     batch.writes_.push_back(std::move(write));
   }
-  waiting_ = std::move(later);
-  underWay_.emplace(batch.id_, batch.writes_);
-  lastGroup_ = batch.id_;
+  waiting_ = std::move(deferred);
+  inFlight_.emplace(batch.id_, batch.writes_);
+  lastBatchId_ = batch.id_;
   lastBegin_ = aNow;
   nextBegin_ = aNow + limits_.interval_;
   return batch;
@@ -68,7 +70,7 @@
 std::vector<WriteClaim>
 ClaimBatcher::Take(std::uint64_t aBatchId)
 {
-  auto node = underWay_.extract(aBatchId);
+  auto node = inFlight_.extract(aBatchId);
   return node.empty() ? std::vector<WriteClaim>() : std::move(node.mapped());
 }
 
@@ -78,14 +80,14 @@
 {
   std::vector<WriteClaim> batch = Take(aBatchId);
   std::vector<Ended> ended;
-  for (std::size_t place = 0; place < batch.size(); ++place) {
+  for (std::size_t index = 0; index < batch.size(); ++index) {
     ClaimWriteResult result;
-    // An answer that is short of revisions is not trusted with the rest.
-    if (place < aRevisions.size()) {
+    // Rows without a revision in the answer have an unknown outcome.
+    if (index < aRevisions.size()) {
       result.outcome_ = ClaimWrite::Applied;
-      result.revision_ = aRevisions[place];
+      result.revision_ = aRevisions[index];
     }
-    ended.push_back({ std::move(batch[place]), result });
+    ended.push_back({ std::move(batch[index]), result });
   }
   return ended;
 }
@@ -94,7 +96,7 @@
 ClaimBatcher::OnRefused(std::uint64_t aBatchId,
                         std::span<const RefusedRow> aRows)
 {
-  // A refusal that names no row would be sent again and again.
+  // Without a refused row the batch would be resent forever.
   if (aRows.empty()) {
     return OnFailed(aBatchId, ClaimWrite::NotWritten);
   }
@@ -104,18 +106,18 @@
     refused.insert(row);
   }
   std::vector<Ended> ended;
-  std::deque<WriteClaim> again;
-  for (std::size_t place = 0; place < batch.size(); ++place) {
-    const auto found = refused.find(place);
+  std::deque<WriteClaim> requeued;
+  for (std::size_t index = 0; index < batch.size(); ++index) {
+    const auto found = refused.find(index);
     if (found == refused.end()) {
-      again.push_back(std::move(batch[place]));
+      requeued.push_back(std::move(batch[index]));
     } else {
-      ended.push_back({ std::move(batch[place]), found->second });
+      ended.push_back({ std::move(batch[index]), found->second });
     }
   }
   waiting_.insert(waiting_.begin(),
-                  std::make_move_iterator(again.begin()),
-                  std::make_move_iterator(again.end()));
+                  std::make_move_iterator(requeued.begin()),
+                  std::make_move_iterator(requeued.end()));
   nextBegin_ = Instant();
   return ended;
 }
@@ -134,15 +136,15 @@
 ClaimBatcher::OnTick(Instant aNow)
 {
   std::vector<Ended> ended;
-  std::deque<WriteClaim> kept;
+  std::deque<WriteClaim> remaining;
   for (WriteClaim& write : waiting_) {
     if (write.deadline_ <= aNow) {
       ended.push_back({ std::move(write), { ClaimWrite::NotWritten, 0, {} } });
     } else {
-      kept.push_back(std::move(write));
+      remaining.push_back(std::move(write));
     }
   }
-  waiting_ = std::move(kept);
+  waiting_ = std::move(remaining);
   return ended;
 }
 
--- a/Source/Request/EntryCore.cxx
+++ b/Source/Request/EntryCore.cxx
@@ -14,15 +14,15 @@
 
 namespace {
 
-constexpr Millis kForgetPause{ 1000 };
-constexpr Millis kSilenceCheckPause{ 100 };
+constexpr Millis kForgetInterval{ 1000 };
+constexpr Millis kHeartbeatCheckInterval{ 100 };
 
-/** What the end of an attempt says of its side. */
+/** Effect of the end of an attempt on the statistics of its side. */
 enum class AttemptEnd : std::uint8_t
 {
   Answered,
   Failed,
-  /** Given up: says nothing of the side. */
+  /** The attempt was abandoned; the statistics of the side don't change. */
   Cancelled,
 };
 
@@ -37,26 +37,27 @@
   RequestFacts facts_;
   RequestState state_ = RequestState::WaitsForClaim;
   std::string fingerprint_;
-  /** The write under way; 0 if none. */
+  /** The claim write in flight; 0 if none. */
   std::uint64_t claimWrite_ = 0;
   std::size_t claimWrites_ = 0;
-  /** Of the claim's row, once it is ours; before, what we expect it to be. */
+  /** Revision of the claim's row once the request owns it; before that, the
+   * expected revision. */
   std::uint64_t claimRevision_ = 0;
   std::size_t attempts_ = 0;
   std::string attemptId_;
   std::string sideId_;
   ServiceSides::Choice choice_;
   Instant dispatchedAt_;
-  /** A caller that is told to come back should do so after this. */
-  Instant comeBackAt_;
-  /** Sides that were sent an attempt. */
+  /** Earliest retry time of the caller, sent as a delay with the answer. */
+  Instant retryAt_;
+  /** Sides to which an attempt was sent. */
   ServiceSides::Tried tried_;
-  /** What the attempts that ended say together. */
+  /** Combined verdict of the attempts that ended. */
   Verdict verdict_ = Verdict::DidNotRun;
 };
 
-/** A claimed request that was given up while an attempt was in doubt. */
-struct GivenUp
+/** A claimed request that was abandoned with an unknown attempt outcome. */
+struct AbandonedRequest
 {
   std::string attemptId_;
   std::string sideId_;
@@ -71,7 +72,7 @@
   aRecord.verdict_ = aAnswer.verdict_;
   aRecord.status_ = aAnswer.status_;
   aRecord.bodyBytes_ = aAnswer.body_.size();
-  if (aAnswer.body_.size() <= kMaxKeptBodyBytes) {
+  if (aAnswer.body_.size() <= kMaxStoredBodyBytes) {
     aRecord.body_ = aAnswer.body_;
   }
   for (const auto& [name, value] : aAnswer.headers_) {
@@ -110,64 +111,66 @@
                Request& aRequest,
                const ClaimWriteResult& aRow,
                Instant aNow);
-  void OwnClaim(Actions& aActions,
-                Request& aRequest,
-                std::uint64_t aRevision,
-                Instant aNow);
-  void ClaimInDoubt(Actions& aActions,
-                    Request& aRequest,
-                    ClaimWrite aOutcome,
-                    Instant aNow);
-  void AnswerRepeat(Actions& aActions,
-                    const Request& aRequest,
-                    ClaimMeaning aMeaning,
-                    const ClaimRecord& aRecord);
+  void OnClaimAcquired(Actions& aActions,
+                       Request& aRequest,
+                       std::uint64_t aRevision,
+                       Instant aNow);
+  void RetryOrAbandonClaim(Actions& aActions,
+                           Request& aRequest,
+                           ClaimWrite aOutcome,
+                           Instant aNow);
+  void AnswerDuplicate(Actions& aActions,
+                       const Request& aRequest,
+                       ClaimState aClaimState,
+                       const ClaimRecord& aRecord);
   void WriteOutcome(Actions& aActions,
                     const Request& aRequest,
                     const ClaimRecord& aRecord,
                     Instant aNow);
-  void TakeLateAnswer(Actions& aActions,
-                      const std::string& aSideId,
-                      const AnswerMessage& aAnswer,
-                      Instant aNow);
-  void KeepInDoubt(const Request& aRequest,
-                   const ClaimRecord& aRecord,
-                   Instant aNow);
+  void HandleLateAnswer(Actions& aActions,
+                        const std::string& aSideId,
+                        const AnswerMessage& aAnswer,
+                        Instant aNow);
+  void KeepUnknownOutcome(const Request& aRequest,
+                          const ClaimRecord& aRecord,
+                          Instant aNow);
   void Dispatch(Actions& aActions, Request& aRequest, Instant aNow);
-  void RetryOrGiveUp(Actions& aActions,
-                     Request& aRequest,
-                     const std::string& aReason,
-                     Instant aNow);
-  void ForgetSilentSides(Instant aNow);
-  void LeaveSilentSides(Actions& aActions, Instant aNow);
-  void LeaveSilentSide(Actions& aActions, Request& aRequest, Instant aNow);
-  void GiveUp(Actions& aActions,
-              const std::string& aRequestId,
-              int aStatus,
-              std::string aReason,
-              Instant aNow);
+  void RetryOrAbandon(Actions& aActions,
+                      Request& aRequest,
+                      const std::string& aReason,
+                      Instant aNow);
+  void RemoveUnresponsiveSides(Instant aNow);
+  void HandleUnresponsiveSides(Actions& aActions, Instant aNow);
+  void HandleUnresponsiveSide(Actions& aActions,
+                              Request& aRequest,
+                              Instant aNow);
+  void Abandon(Actions& aActions,
+               const std::string& aRequestId,
+               int aStatus,
+               std::string aReason,
+               Instant aNow);
   void EndAttempt(Request& aRequest, AttemptEnd aEnd, Instant aNow);
   void Forget(const std::string& aRequestId, Instant aNow);
 
   Limits limits_;
-  /** Sides' silence is counted in this entry's awake time. */
+  /** Awake time of this entry, for heartbeat timeouts. */
   AwakeClock awakeClock_;
   MembershipView membership_;
   std::unordered_map<std::string, ServiceSides> services_;
-  /** The service that a side served when it was last heard. */
+  /** Service of each side, from its latest heartbeat. */
   std::unordered_map<std::string, std::string> serviceOf_;
-  std::uint64_t draws_ = 0;
-  Instant nextForgetting_;
-  Instant nextSilenceCheck_;
+  std::uint64_t choiceCount_ = 0;
+  Instant nextForgetAt_;
+  Instant nextHeartbeatCheckAt_;
   std::uint64_t nextWriteId_ = 0;
   OutcomeWriter outcomes_;
   std::unordered_map<std::string, Request> requests_;
-  /** Requests by deadline, so that a tick costs only what expired. */
+  /** Requests by deadline, so that a tick visits only expired requests. */
   std::set<std::pair<Instant, std::string>> deadlines_;
-  /** Requests with an attempt in progress, by side. */
-  std::unordered_map<std::string, std::set<std::string>> sent_;
-  std::unordered_map<std::string, GivenUp> givenUp_;
-  std::deque<std::pair<Instant, std::string>> givenUpOrder_;
+  /** Requests with an attempt in flight, by side. */
+  std::unordered_map<std::string, std::set<std::string>> inFlightBySide_;
+  std::unordered_map<std::string, AbandonedRequest> abandoned_;
+  std::deque<std::pair<Instant, std::string>> abandonedOrder_;
 };
 
 void
@@ -197,8 +200,10 @@
 EntryCore::Private::Choose(const Request& aRequest, Instant aNow)
 {
   return SidesOf(aRequest.facts_.service_)
-    .Choose(
-      aRequest.tried_, ++draws_ + limits_.seed_, awakeClock_.At(aNow), aNow);
+    .Choose(aRequest.tried_,
+            ++choiceCount_ + limits_.seed_,
+            awakeClock_.At(aNow),
+            aNow);
 }
 
 void
@@ -221,10 +226,10 @@
 }
 
 void
-EntryCore::Private::OwnClaim(Actions& aActions,
-                             Request& aRequest,
-                             std::uint64_t aRevision,
-                             Instant aNow)
+EntryCore::Private::OnClaimAcquired(Actions& aActions,
+                                    Request& aRequest,
+                                    std::uint64_t aRevision,
+                                    Instant aNow)
 {
   aRequest.claimRevision_ = aRevision;
   const std::string id = aRequest.facts_.requestId_;
@@ -238,12 +243,12 @@
 }
 
 void
-EntryCore::Private::ClaimInDoubt(Actions& aActions,
-                                 Request& aRequest,
-                                 ClaimWrite aOutcome,
-                                 Instant aNow)
+EntryCore::Private::RetryOrAbandonClaim(Actions& aActions,
+                                        Request& aRequest,
+                                        ClaimWrite aOutcome,
+                                        Instant aNow)
 {
-  // The same write once more: if the first took effect, the row shows it.
+  // Repeats the write: if the first one was applied, the row shows it.
   const bool again = aOutcome == ClaimWrite::Unknown &&
                      aRequest.claimWrites_ < limits_.maxClaimWrites_ / 2 &&
                      aRequest.facts_.deadline_ > aNow;
@@ -251,12 +256,12 @@
     Claim(aActions, aRequest, aNow);
     return;
   }
-  GiveUp(aActions,
-         std::string(aRequest.facts_.requestId_),
-         503,
-         "The table service can't be asked, so the request can't be kept from "
-         "running twice; it was not started.",
-         aNow);
+  Abandon(aActions,
+          std::string(aRequest.facts_.requestId_),
+          503,
+          "The table service can't be asked, so the request can't be kept from "
+          "running twice; it was not started.",
+          aNow);
 }
 
 void
@@ -266,13 +271,13 @@
                             Instant aNow)
 {
   const std::string id = aRequest.facts_.requestId_;
-  const ClaimMeaning meaning = ReadClaim(aRow, id, aRequest.fingerprint_);
-  if (meaning == ClaimMeaning::Ours) {
-    OwnClaim(aActions, aRequest, aRow.revision_, aNow);
+  const ClaimState claimState = ClassifyClaim(aRow, id, aRequest.fingerprint_);
+  if (claimState == ClaimState::OwnedByRequest) {
+    OnClaimAcquired(aActions, aRequest, aRow.revision_, aNow);
     return;
   }
-  if (meaning != ClaimMeaning::Free) {
-    AnswerRepeat(aActions, aRequest, meaning, aRow.record_);
+  if (claimState != ClaimState::Free) {
+    AnswerDuplicate(aActions, aRequest, claimState, aRow.record_);
     Forget(id, aNow);
     return;
   }
@@ -281,32 +286,36 @@
     Claim(aActions, aRequest, aNow);
     return;
   }
-  GiveUp(aActions, id, 503, "The key is contended; ask again.", aNow);
+  Abandon(aActions,
+          id,
+          503,
+          "Several requests compete for the key; retry the request.",
+          aNow);
 }
 
 void
-EntryCore::Private::AnswerRepeat(Actions& aActions,
-                                 const Request& aRequest,
-                                 ClaimMeaning aMeaning,
-                                 const ClaimRecord& aRecord)
+EntryCore::Private::AnswerDuplicate(Actions& aActions,
+                                    const Request& aRequest,
+                                    ClaimState aClaimState,
+                                    const ClaimRecord& aRecord)
 {
   const std::string& first = aRecord.requestId_;
   AnswerCaller answer;
   answer.requestId_ = aRequest.facts_.requestId_;
   answer.status_ = 409;
-  switch (aMeaning) {
-    case ClaimMeaning::Replay:
+  switch (aClaimState) {
+    case ClaimState::Replay:
       answer.verdict_ = Verdict::Ran;
       answer.status_ = aRecord.status_;
       answer.body_ = aRecord.body_;
       answer.headers_.emplace_back("Content-Type", aRecord.contentType_);
       break;
-    case ClaimMeaning::AnswerNotKept:
+    case ClaimState::AnswerNotStored:
       answer.verdict_ = Verdict::Ran;
       answer.reason_ = "The key was used by request " + first +
                        ", which ran; its answer was not kept.";
       break;
-    case ClaimMeaning::OtherRequest:
+    case ClaimState::DifferentRequest:
       answer.verdict_ = Verdict::DidNotRun;
       answer.status_ = 422;
       answer.reason_ = "The key was used by request " + first +
@@ -317,8 +326,8 @@
       answer.retryAfter_ = limits_.retryAfter_;
       answer.reason_ =
         "The key is used by request " + first +
-        (aMeaning == ClaimMeaning::InDoubt ? ", which may have run."
-                                           : ", which is in progress.");
+        (aClaimState == ClaimState::UnknownOutcome ? ", which may have run."
+                                                   : ", which is in progress.");
       break;
   }
   Record(aActions,
@@ -342,37 +351,37 @@
 }
 
 void
-EntryCore::Private::KeepInDoubt(const Request& aRequest,
-                                const ClaimRecord& aRecord,
-                                Instant aNow)
+EntryCore::Private::KeepUnknownOutcome(const Request& aRequest,
+                                       const ClaimRecord& aRecord,
+                                       Instant aNow)
 {
   if (aRequest.attemptId_.empty()) {
     return;
   }
   const std::string& id = aRequest.facts_.requestId_;
-  givenUp_[id] = GivenUp{
+  abandoned_[id] = AbandonedRequest{
     aRequest.attemptId_, aRequest.sideId_, aRecord, aRequest.verdict_
   };
-  givenUpOrder_.emplace_back(aNow + limits_.lateAnswers_, id);
-  if (givenUpOrder_.size() > limits_.maxRequests_) {
-    givenUp_.erase(givenUpOrder_.front().second);
-    givenUpOrder_.pop_front();
+  abandonedOrder_.emplace_back(aNow + limits_.lateAnswerTimeout_, id);
+  if (abandonedOrder_.size() > limits_.maxRequests_) {
+    abandoned_.erase(abandonedOrder_.front().second);
+    abandonedOrder_.pop_front();
   }
 }
 
 void
-EntryCore::Private::TakeLateAnswer(Actions& aActions,
-                                   const std::string& aSideId,
-                                   const AnswerMessage& aAnswer,
-                                   Instant aNow)
+EntryCore::Private::HandleLateAnswer(Actions& aActions,
+                                     const std::string& aSideId,
+                                     const AnswerMessage& aAnswer,
+                                     Instant aNow)
 {
-  const auto found = givenUp_.find(aAnswer.requestId_);
-  if (found == givenUp_.end() ||
+  const auto found = abandoned_.find(aAnswer.requestId_);
+  if (found == abandoned_.end() ||
       found->second.attemptId_ != aAnswer.attemptId_ ||
       found->second.sideId_ != aSideId) {
     return;
   }
-  const GivenUp& request = found->second;
+  const AbandonedRequest& request = found->second;
   ClaimRecord record = AnswerRecord(request.record_, aAnswer);
   record.verdict_ = CombineVerdicts(request.earlier_, aAnswer.verdict_);
   if (record.verdict_ == Verdict::MayHaveRun) {
@@ -388,20 +397,21 @@
 EntryCore::Private::Dispatch(Actions& aActions, Request& aRequest, Instant aNow)
 {
   const std::string requestId = aRequest.facts_.requestId_;
-  // A frozen entry thaws with the table's answer in hand and its caller gone.
+  // After a stall of the entry, the table's answer can arrive when the caller's
+  // deadline has passed.
   if (aRequest.facts_.deadline_ <= aNow) {
-    GiveUp(aActions, requestId, 504, "The deadline passed.", aNow);
+    Abandon(aActions, requestId, 504, "The deadline passed.", aNow);
     return;
   }
   const std::optional<ServiceSides::Choice> side = Choose(aRequest, aNow);
   if (!side.has_value()) {
-    GiveUp(aActions,
-           requestId,
-           503,
-           aRequest.attempts_ == 0
-             ? "No upstream of the service is there just now."
-             : "No further upstream of the service is there to try.",
-           aNow);
+    Abandon(aActions,
+            requestId,
+            503,
+            aRequest.attempts_ == 0
+              ? "No upstream of the service is there just now."
+              : "No further upstream of the service is there to try.",
+            aNow);
     return;
   }
   ++aRequest.attempts_;
@@ -412,7 +422,7 @@
   SidesOf(aRequest.facts_.service_).OnSent(*side, aNow);
   aRequest.attemptId_ = requestId + "." + std::to_string(aRequest.attempts_);
   aRequest.tried_.emplace(side->sideId_, side->incarnation_);
-  sent_[aRequest.sideId_].insert(requestId);
+  inFlightBySide_[aRequest.sideId_].insert(requestId);
   Record(aActions,
          requestId,
          std::string(kStepDispatched),
@@ -450,11 +460,11 @@
   } else {
     sides.OnCancelled(aRequest.choice_, aNow);
   }
-  const auto sent = sent_.find(aRequest.sideId_);
-  if (sent != sent_.end()) {
+  const auto sent = inFlightBySide_.find(aRequest.sideId_);
+  if (sent != inFlightBySide_.end()) {
     sent->second.erase(aRequest.facts_.requestId_);
     if (sent->second.empty()) {
-      sent_.erase(sent);
+      inFlightBySide_.erase(sent);
     }
   }
   aRequest.attemptId_.clear();
@@ -471,11 +481,11 @@
 }
 
 void
-EntryCore::Private::GiveUp(Actions& aActions,
-                           const std::string& aRequestId,
-                           int aStatus,
-                           std::string aReason,
-                           Instant aNow)
+EntryCore::Private::Abandon(Actions& aActions,
+                            const std::string& aRequestId,
+                            int aStatus,
+                            std::string aReason,
+                            Instant aNow)
 {
   const Request& request = requests_.at(aRequestId);
   Verdict verdict = request.verdict_;
@@ -484,8 +494,9 @@
     aActions.emplace_back(
       SendCancel{ request.sideId_, CancelMessage{ request.attemptId_ } });
   }
-  // Also if the claim's own answer is still out: should that write take effect
-  // later, the key would stay taken by a request that was told "did not run".
+  // Also needed while the claim write is in flight: if that write is applied
+  // later, the key would stay claimed by a request that was answered with
+  // "did not run".
   if (request.claimWrites_ > 0) {
     ClaimRecord record;
     record.requestId_ = aRequestId;
@@ -493,7 +504,7 @@
     record.finished_ = true;
     record.verdict_ = verdict;
     WriteOutcome(aActions, request, record, aNow);
-    KeepInDoubt(request, record, aNow);
+    KeepUnknownOutcome(request, record, aNow);
   }
   Record(aActions,
          aRequestId,
@@ -507,16 +518,16 @@
   answer.status_ = aStatus;
   answer.reason_ = std::move(aReason);
   answer.retryAfter_ = std::max(
-    limits_.retryAfter_, std::chrono::ceil<Millis>(request.comeBackAt_ - aNow));
+    limits_.retryAfter_, std::chrono::ceil<Millis>(request.retryAt_ - aNow));
   aActions.emplace_back(std::move(answer));
   Forget(aRequestId, aNow);
 }
 
 void
-EntryCore::Private::RetryOrGiveUp(Actions& aActions,
-                                  Request& aRequest,
-                                  const std::string& aReason,
-                                  Instant aNow)
+EntryCore::Private::RetryOrAbandon(Actions& aActions,
+                                   Request& aRequest,
+                                   const std::string& aReason,
+                                   Instant aNow)
 {
   const bool mayRunAgain =
     aRequest.facts_.idempotent_ || aRequest.verdict_ == Verdict::DidNotRun;
@@ -528,23 +539,23 @@
       Dispatch(aActions, aRequest, aNow);
       return;
     }
-    aRequest.comeBackAt_ = budget.NextAt(aNow);
+    aRequest.retryAt_ = budget.NextAt(aNow);
   }
   const int status = aRequest.verdict_ == Verdict::DidNotRun ? 503 : 502;
-  GiveUp(
+  Abandon(
     aActions, std::string(aRequest.facts_.requestId_), status, aReason, aNow);
 }
 
 void
-EntryCore::Private::LeaveSilentSide(Actions& aActions,
-                                    Request& aRequest,
-                                    Instant aNow)
-{
-  const bool mayMove = aRequest.facts_.idempotent_ &&
-                       aRequest.attempts_ < limits_.maxAttempts_ &&
-                       Choose(aRequest, aNow).has_value() &&
-                       SidesOf(aRequest.facts_.service_).Budget().TryTake(aNow);
-  if (!mayMove) {
+EntryCore::Private::HandleUnresponsiveSide(Actions& aActions,
+                                           Request& aRequest,
+                                           Instant aNow)
+{
+  const bool canRetry =
+    aRequest.facts_.idempotent_ && aRequest.attempts_ < limits_.maxAttempts_ &&
+    Choose(aRequest, aNow).has_value() &&
+    SidesOf(aRequest.facts_.service_).Budget().TryTake(aNow);
+  if (!canRetry) {
     return;
   }
   Record(aActions,
@@ -562,12 +573,12 @@
 }
 
 void
-EntryCore::Private::ForgetSilentSides(Instant aNow)
+EntryCore::Private::RemoveUnresponsiveSides(Instant aNow)
 {
-  if (aNow < nextForgetting_) {
+  if (aNow < nextForgetAt_) {
     return;
   }
-  nextForgetting_ = aNow + kForgetPause;
+  nextForgetAt_ = aNow + kForgetInterval;
   for (const std::string& id : membership_.Forget(awakeClock_.At(aNow))) {
     SidesOf(serviceOf_[id]).Remove(id);
     serviceOf_.erase(id);
@@ -575,22 +586,22 @@
 }
 
 void
-EntryCore::Private::LeaveSilentSides(Actions& aActions, Instant aNow)
+EntryCore::Private::HandleUnresponsiveSides(Actions& aActions, Instant aNow)
 {
-  if (aNow < nextSilenceCheck_) {
+  if (aNow < nextHeartbeatCheckAt_) {
     return;
   }
-  nextSilenceCheck_ = aNow + kSilenceCheckPause;
-  // A frozen side's connection stands for minutes. Its attempts would wait for
-  // their deadlines although another side has room.
+  nextHeartbeatCheckAt_ = aNow + kHeartbeatCheckInterval;
+  // The connection of a frozen side stays open for minutes. Its attempts would
+  // wait until their deadlines although another side has free capacity.
   std::set<std::string> waiting;
-  for (const auto& [sideId, ids] : sent_) {
+  for (const auto& [sideId, ids] : inFlightBySide_) {
     if (membership_.IsSilent(sideId, awakeClock_.At(aNow))) {
       waiting.insert(ids.begin(), ids.end());
     }
   }
   for (const std::string& id : waiting) {
-    LeaveSilentSide(aActions, requests_.at(id), aNow);
+    HandleUnresponsiveSide(aActions, requests_.at(id), aNow);
   }
 }
 
@@ -605,8 +616,8 @@
 EntryCore::OnHeartbeat(const HeartbeatMessage& aHeartbeat, Instant aNow)
 {
   Private& self = *private_;
-  const Instant heardAt = self.awakeClock_.At(aNow);
-  const MembershipChange change = self.membership_.Observe(aHeartbeat, heardAt);
+  const Instant awakeAt = self.awakeClock_.At(aNow);
+  const MembershipChange change = self.membership_.Observe(aHeartbeat, awakeAt);
   if (change == MembershipChange::Stale) {
     return change;
   }
@@ -616,7 +627,7 @@
     self.SidesOf(service).Remove(id);
     service = aHeartbeat.service_;
   }
-  self.SidesOf(service).Observe(aHeartbeat, heardAt + kSideSilence, aNow);
+  self.SidesOf(service).Observe(aHeartbeat, awakeAt + kSideSilence, aNow);
   return change;
 }
 
@@ -645,14 +656,17 @@
   request.facts_ = aRequest;
   self.deadlines_.emplace(aRequest.deadline_, id);
   if (full) {
-    self.GiveUp(
-      actions, id, 503, "This entry has too many requests open.", aNow);
+    self.Abandon(actions,
+                 id,
+                 503,
+                 "This entry has too many open requests; retry later.",
+                 aNow);
     return actions;
   }
   ServiceSides& sides = self.SidesOf(aRequest.service_);
   sides.Budget().OnRequest(aNow);
   if (!sides.AnyUsable(self.awakeClock_.At(aNow))) {
-    self.GiveUp(
+    self.Abandon(
       actions, id, 503, "No upstream of the service is there just now.", aNow);
     return actions;
   }
@@ -690,13 +704,13 @@
   request.claimWrite_ = 0;
   switch (aResult.outcome_) {
     case ClaimWrite::Applied:
-      self.OwnClaim(actions, request, aResult.revision_, aNow);
+      self.OnClaimAcquired(actions, request, aResult.revision_, aNow);
       break;
     case ClaimWrite::Refused:
       self.ReadRow(actions, request, aResult, aNow);
       break;
     default:
-      self.ClaimInDoubt(actions, request, aResult.outcome_, aNow);
+      self.RetryOrAbandonClaim(actions, request, aResult.outcome_, aNow);
       break;
   }
   return actions;
@@ -710,8 +724,8 @@
   std::vector<EntryAction> actions;
   Private& self = *private_;
   const auto found = self.requests_.find(aAnswer.requestId_);
-  // Late, doubled or misdirected: only the attempt in progress, answered by the
-  // side that it was sent to, reaches the caller.
+  // Drops late, duplicate and misdirected answers: only the answer to the
+  // attempt in flight, from the side to which it was sent, reaches the caller.
   if (found == self.requests_.end() ||
       found->second.attemptId_ != aAnswer.attemptId_ ||
       found->second.sideId_ != aSideId) {
@@ -722,7 +736,7 @@
                 aAnswer.verdict_ == Verdict::Ran,
                 "from side/" + aSideId,
                 aAnswer.attemptId_);
-    self.TakeLateAnswer(actions, aSideId, aAnswer, aNow);
+    self.HandleLateAnswer(actions, aSideId, aAnswer, aNow);
     return actions;
   }
   Request& request = found->second;
@@ -736,7 +750,7 @@
                 aAnswer.reason_,
                 aAnswer.attemptId_);
     self.EndAttempt(request, AttemptEnd::Failed, aNow);
-    self.RetryOrGiveUp(actions, request, aAnswer.reason_, aNow);
+    self.RetryOrAbandon(actions, request, aAnswer.reason_, aNow);
     return actions;
   }
   self.Record(actions,
@@ -772,8 +786,8 @@
 {
   std::vector<EntryAction> actions;
   Private& self = *private_;
-  const auto sent = self.sent_.find(aSideId);
-  if (sent == self.sent_.end()) {
+  const auto sent = self.inFlightBySide_.find(aSideId);
+  if (sent == self.inFlightBySide_.end()) {
     return actions;
   }
   const std::set<std::string> hit = std::exchange(sent->second, {});
@@ -790,10 +804,10 @@
                 "on side/" + aSideId,
                 request.attemptId_);
     self.EndAttempt(request, AttemptEnd::Failed, aNow);
-    self.RetryOrGiveUp(actions,
-                       request,
-                       "The connection to the upstream's side was lost.",
-                       aNow);
+    self.RetryOrAbandon(actions,
+                        request,
+                        "The connection to the upstream's side was lost.",
+                        aNow);
   }
   return actions;
 }
@@ -803,7 +817,7 @@
 {
   std::vector<EntryAction> actions;
   if (private_->requests_.contains(aRequestId)) {
-    private_->GiveUp(actions, aRequestId, 499, "The caller hung up.", aNow);
+    private_->Abandon(actions, aRequestId, 499, "The caller hung up.", aNow);
   }
   return actions;
 }
@@ -816,14 +830,14 @@
   self.awakeClock_.OnTick(aNow);
   while (!self.deadlines_.empty() && self.deadlines_.begin()->first <= aNow) {
     const std::string id = self.deadlines_.begin()->second;
-    self.GiveUp(actions, id, 504, "The deadline passed.", aNow);
+    self.Abandon(actions, id, 504, "The deadline passed.", aNow);
   }
-  self.LeaveSilentSides(actions, aNow);
-  self.ForgetSilentSides(aNow);
-  while (!self.givenUpOrder_.empty() &&
-         self.givenUpOrder_.front().first <= aNow) {
-    self.givenUp_.erase(self.givenUpOrder_.front().second);
-    self.givenUpOrder_.pop_front();
+  self.HandleUnresponsiveSides(actions, aNow);
+  self.RemoveUnresponsiveSides(aNow);
+  while (!self.abandonedOrder_.empty() &&
+         self.abandonedOrder_.front().first <= aNow) {
+    self.abandoned_.erase(self.abandonedOrder_.front().second);
+    self.abandonedOrder_.pop_front();
   }
   for (WriteClaim& write : self.outcomes_.OnTick(aNow)) {
     actions.emplace_back(std::move(write));
@@ -838,7 +852,7 @@
   Private& self = *private_;
   while (!self.deadlines_.empty()) {
     const std::string id = self.deadlines_.begin()->second;
-    self.GiveUp(actions, id, 503, "The entry's planned stop ended.", aNow);
+    self.Abandon(actions, id, 503, "The entry's planned stop ended.", aNow);
   }
   return actions;
 }
--- a/Source/Request/Routing.cxx
+++ b/Source/Request/Routing.cxx
@@ -11,19 +11,19 @@
 
 namespace {
 
-/** Own load is remembered in steps of this length, for comparing with reports.
- */
+/** Resolution of the history of own load, for comparison with reports. */
 constexpr Micros kHistoryStep{ 100000 };
 constexpr std::size_t kHistorySteps = 32;
 constexpr double kLatencySmoothing = 0.05;
-/** Before so many answers a mean tells of the requests, not of the runner. */
-constexpr std::uint32_t kFewAnswers = 20;
+/** Minimum number of answers before a mean latency describes the runner. With
+ * fewer, the mean depends on the individual requests. */
+constexpr std::uint32_t kMinAnswers = 20;
 constexpr double kFleetSmoothing = 0.005;
 constexpr double kOthersSmoothing = 0.3;
 
-/** A small generator seeded by the caller's random number. */
+/** Small random generator, seeded with the caller's random number. */
 std::uint64_t
-NextDraw(std::uint64_t& aState)
+DrawRandom(std::uint64_t& aState)
 {
   aState += 0x9e3779b97f4a7c15ULL;
   std::uint64_t mixed = aState;
@@ -37,16 +37,16 @@
   bool present_ = false;
   bool sameDataCentre_ = false;
   double slots_ = 1;
-  double own_ = 0;
-  /** The load that others put there: reports less our own share, smoothed. */
-  double others_ = 0;
+  double ownLoad_ = 0;
+  /** Smoothed load from others: reported load minus own load. */
+  double othersLoad_ = 0;
   bool reported_ = false;
   double latencyMicros_ = 0;
   std::uint32_t answers_ = 0;
-  /** Own load by time step, a ring. */
+  /** Ring buffer of own load per time step. */
   std::array<float, kHistorySteps> history_{};
   std::int64_t lastStep_ = 0;
-  std::size_t place_ = 0;
+  std::size_t presentIndex_ = 0;
 };
 
 std::int64_t
@@ -61,7 +61,7 @@
   return static_cast<std::size_t>(aStep) % kHistorySteps;
 }
 
-/** Writes the own load into the steps that passed since the last change. */
+/** Stores the own load for the time steps since the last change. */
 void
 Advance(RunnerState& aState, Instant aNow)
 {
@@ -69,12 +69,13 @@
   const std::int64_t first = std::max(
     aState.lastStep_ + 1, step - static_cast<std::int64_t>(kHistorySteps) + 1);
   for (std::int64_t passed = first; passed <= step; ++passed) {
-    aState.history_[SlotOf(passed)] = static_cast<float>(aState.own_);
+    aState.history_[SlotOf(passed)] = static_cast<float>(aState.ownLoad_);
   }
   aState.lastStep_ = std::max(aState.lastStep_, step);
 }
 
-/** Own load at an earlier time; what is beyond the ring reads as the oldest. */
+/** Own load at an earlier time; times before the ring buffer give its oldest
+ * value. */
 double
 OwnLoadAt(const RunnerState& aState, Instant aTime)
 {
@@ -104,7 +105,7 @@
   OutlierTracker outliers_;
   std::vector<RunnerState> runners_;
   std::vector<Runner> free_;
-  /** The runners that are present, in no order. */
+  /** Present runners, unordered. */
   std::vector<Runner> present_;
   double fleetMicros_ = 0;
 };
@@ -112,17 +113,20 @@
 double
 Router::Private::Cost(const RunnerState& aState) const
 {
-  const double load = aState.own_ + aState.others_;
+  const double load = aState.ownLoad_ + aState.othersLoad_;
   const double wait = std::max(0.0, load + 1 - aState.slots_) / aState.slots_;
   const double used = (load + 1) / aState.slots_;
   const double crossing =
-    aState.sameDataCentre_ ? 0 : static_cast<double>(rules_.crossing_.count());
-  // A new runner counts as slow as the fleet. Taken for faster, it would draw
-  // every request until its first answers.
+    aState.sameDataCentre_
+      ? 0
+      : static_cast<double>(rules_.crossDataCentreCost_.count());
+  // A new runner is assumed to be as slow as the fleet. If it were assumed to
+  // be faster, it would get every request until its first answers.
   const double latency =
-    aState.answers_ < kFewAnswers ? fleetMicros_ : aState.latencyMicros_;
-  // Squared against the fleet: a request sent to a runner that is twice as slow
-  // is far likelier to end in the tail than two that are a little slow.
+    aState.answers_ < kMinAnswers ? fleetMicros_ : aState.latencyMicros_;
+  // The ratio to the fleet is squared: one request on a runner that is twice as
+  // slow is far more likely to end in the latency tail than two requests on
+  // slightly slow runners.
   return latency * latency / fleetMicros_ * (1 + wait + used * used) + crossing;
 }
 
@@ -131,7 +135,7 @@
 {
   RunnerState& state = runners_[aRunner];
   Advance(state, aNow);
-  state.own_ = std::max(0.0, state.own_ - 1);
+  state.ownLoad_ = std::max(0.0, state.ownLoad_ - 1);
 }
 
 Router::Router(const Rules& aRules)
@@ -160,7 +164,7 @@
   state.present_ = true;
   state.sameDataCentre_ = aSameDataCentre;
   state.slots_ = std::max<std::uint32_t>(1, aSlots);
-  state.place_ = self.present_.size();
+  state.presentIndex_ = self.present_.size();
   self.present_.push_back(number);
   self.outliers_.Reset(number);
   return number;
@@ -172,8 +176,8 @@
   Private& self = *private_;
   RunnerState& state = self.runners_[aRunner];
   const Runner last = self.present_.back();
-  self.present_[state.place_] = last;
-  self.runners_[last].place_ = state.place_;
+  self.present_[state.presentIndex_] = last;
+  self.runners_[last].presentIndex_ = state.presentIndex_;
   self.present_.pop_back();
   state.present_ = false;
   self.outliers_.Forget(aRunner);
@@ -186,15 +190,17 @@
   RunnerState& state = private_->runners_[aRunner];
   Advance(state, aNow);
   state.slots_ = std::max<std::uint32_t>(1, aReport.slots_);
-  // The report counts our own attempts of that time; subtracting today's would
-  // make a runner look free just after we filled it.
+  // The report includes the own attempts at the time of the measurement.
+  // Subtracting the current own load would make a runner look free right after
+  // this router filled it.
   const double others =
     std::max(0.0,
              static_cast<double>(aReport.busy_ + aReport.queued_) -
                OwnLoadAt(state, aReport.measuredAt_));
-  state.others_ = state.reported_ ? state.others_ + kOthersSmoothing *
-                                                      (others - state.others_)
-                                  : others;
+  state.othersLoad_ =
+    state.reported_
+      ? state.othersLoad_ + kOthersSmoothing * (others - state.othersLoad_)
+      : others;
   state.reported_ = true;
 }
 
@@ -212,21 +218,22 @@
   double bestCost = std::numeric_limits<double>::max();
   std::size_t drawn = 0;
   std::uint64_t draws = aRandom;
-  // A walk from a random start with a random stride costs no allocation; after
-  // the drawn runners it goes on only while none of them could be used.
-  const std::size_t start = aRandom == 0 ? 0 : NextDraw(draws) % count;
+  // Walks from a random start with a random stride, without an allocation.
+  // After the sampled runners the walk continues only while none of them is
+  // usable.
+  const std::size_t start = aRandom == 0 ? 0 : DrawRandom(draws) % count;
   for (std::size_t step = 0; step < count; ++step) {
-    const std::size_t index = drawn < self.rules_.drawn_ && count > 16
-                                ? NextDraw(draws) % count
+    const std::size_t index = drawn < self.rules_.sampleSize_ && count > 16
+                                ? DrawRandom(draws) % count
                                 : (start + step) % count;
     const Runner runner = self.present_[index];
     const bool excluded =
       std::find(aExcluded.begin(), aExcluded.end(), runner) != aExcluded.end();
-    if (excluded || !self.outliers_.MayUse(runner, aNow)) {
+    if (excluded || !self.outliers_.AcceptsRequest(runner, aNow)) {
       continue;
     }
-    if (self.outliers_.IsSetAside(runner)) {
-      // A probe is due. The request that meets it takes it.
+    if (self.outliers_.IsEjected(runner)) {
+      // A probe is due, and this request becomes the probe.
       return runner;
     }
     const double cost = self.Cost(self.runners_[runner]);
@@ -236,7 +243,7 @@
       best = runner;
       bestCost = cost;
     }
-    if (++drawn >= self.rules_.drawn_) {
+    if (++drawn >= self.rules_.sampleSize_) {
       break;
     }
   }
@@ -248,7 +255,7 @@
 {
   RunnerState& state = private_->runners_[aRunner];
   Advance(state, aNow);
-  ++state.own_;
+  ++state.ownLoad_;
   private_->outliers_.OnSent(aRunner, aNow);
 }
 
@@ -284,7 +291,7 @@
 Router::EstimatedLoad(Runner aRunner, Instant) const
 {
   const RunnerState& state = private_->runners_[aRunner];
-  return state.own_ + state.others_;
+  return state.ownLoad_ + state.othersLoad_;
 }
 
 }
--- a/Source/Request/ServiceSides.cxx
+++ b/Source/Request/ServiceSides.cxx
@@ -74,8 +74,8 @@
 {
   std::vector<Router::Runner> excluded;
   for (const auto& [id, member] : members_) {
-    const bool silent = member.usableUntil_ <= aAwake;
-    if (silent || aTried.contains({ id, member.incarnation_ })) {
+    const bool unresponsive = member.usableUntil_ <= aAwake;
+    if (unresponsive || aTried.contains({ id, member.incarnation_ })) {
       excluded.push_back(member.runner_);
     }
   }
@@ -89,10 +89,10 @@
 }
 
 bool
-ServiceSides::Knows(const Choice& aChoice) const
+ServiceSides::IsCurrent(const Choice& aChoice) const
 {
-  // A side that left and came back has another runner, or the same number with
-  // nothing sent to it yet.
+  // A side that left and returned has another runner, or the same index with no
+  // attempt sent to it yet.
   const auto found = members_.find(aChoice.sideId_);
   return found != members_.end() && found->second.runner_ == aChoice.runner_ &&
          found->second.incarnation_ == aChoice.incarnation_;
@@ -101,7 +101,7 @@
 void
 ServiceSides::OnSent(const Choice& aChoice, Instant aNow)
 {
-  if (Knows(aChoice)) {
+  if (IsCurrent(aChoice)) {
     router_.OnSent(aChoice.runner_, aNow);
   }
 }
@@ -109,7 +109,7 @@
 void
 ServiceSides::OnAnswer(const Choice& aChoice, Micros aLatency, Instant aNow)
 {
-  if (Knows(aChoice)) {
+  if (IsCurrent(aChoice)) {
     router_.OnAnswer(aChoice.runner_, aLatency, aNow);
   }
 }
@@ -117,7 +117,7 @@
 void
 ServiceSides::OnFailure(const Choice& aChoice, Instant aNow)
 {
-  if (Knows(aChoice)) {
+  if (IsCurrent(aChoice)) {
     router_.OnFailure(aChoice.runner_, aNow);
   }
 }
@@ -125,7 +125,7 @@
 void
 ServiceSides::OnCancelled(const Choice& aChoice, Instant aNow)
 {
-  if (Knows(aChoice)) {
+  if (IsCurrent(aChoice)) {
     router_.OnCancelled(aChoice.runner_, aNow);
   }
 }
--- a/Source/Request/SideCore.cxx
+++ b/Source/Request/SideCore.cxx
@@ -12,13 +12,13 @@
 
 namespace {
 
-/** How long attempt ids are remembered after their deadline. */
-constexpr Millis kRememberAttempts{ 60000 };
+/** Time for which attempt ids are stored after their deadline. */
+constexpr Millis kAttemptIdLifetime{ 60000 };
 
-/** Weight of the newest answer in what attempts are taken to need. */
-constexpr double kLearnService = 0.1;
+/** Weight of the newest answer in the estimated service time. */
+constexpr double kServiceTimeSmoothing = 0.1;
 
-/** More than a day left to a deadline is taken for a day. */
+/** Maximum remaining time to a deadline: one day. Longer times are clamped. */
 constexpr std::uint64_t kMaxRemainingMicros = 86400000000;
 
 enum class AttemptState : std::uint8_t
@@ -36,8 +36,8 @@
   Instant deadline_;
   Instant arrivedAt_;
   Instant startedAt_;
-  /** Its place in the queue; 0 once it runs. */
-  std::uint64_t turn_ = 0;
+  /** Position in the queue; 0 once the attempt runs. */
+  std::uint64_t queuePosition_ = 0;
 };
 
 Micros
@@ -53,7 +53,7 @@
 public:
   explicit Private(const Limits& aLimits)
     : limits_(aLimits)
-    , serviceMicros_(static_cast<double>(aLimits.expectedService_.count()))
+    , serviceMicros_(static_cast<double>(aLimits.assumedServiceTime_.count()))
   {
   }
 
@@ -71,8 +71,8 @@
               const DispatchMessage& aDispatch,
               std::string aReason,
               Millis aRetryAfter) const;
-  void Remember(const std::string& aAttemptId, Instant aForgetAt);
-  bool IsPast(std::uint64_t aIncarnation) const;
+  void StoreAttemptId(const std::string& aAttemptId, Instant aForgetAt);
+  bool HasEnded(std::uint64_t aIncarnation) const;
   void EndIncarnation(std::uint64_t aIncarnation);
   std::string ReasonToRefuse(const DispatchMessage& aDispatch,
                              Instant aNow) const;
@@ -81,32 +81,32 @@
   void RefuseQueued(Actions& aActions, const std::string& aReason);
   void DropQueued(const std::string& aAttemptId);
   void LeaveQueue(const Attempt& aAttempt);
-  void LearnService(Micros aTook);
+  void UpdateServiceTime(Micros aTook);
   void Finish(Actions& aActions, AnswerMessage aAnswer, Instant aNow);
-  void ForgetOld(Instant aNow);
+  void RemoveExpiredIds(Instant aNow);
   Micros ExpectedWait(Instant aNow) const;
   Millis RetryAfter(const DispatchMessage& aDispatch, Instant aNow) const;
 
   Limits limits_;
   std::optional<Announcement> upstream_;
-  /** Of the latest announcement that counted, lapsed or not. */
+  /** Incarnation of the latest accepted announcement, expired or not. */
   std::uint64_t lastIncarnation_ = 0;
   bool upstreamLeaving_ = false;
   bool stopping_ = false;
   std::unordered_map<std::string, Attempt> attempts_;
-  /** Attempts that wait, by their turn. */
+  /** Waiting attempts in queue order. */
   std::map<std::uint64_t, std::string> queue_;
-  /** Of the bodies that wait. */
+  /** Total size of the waiting bodies. */
   std::size_t queuedBytes_ = 0;
   std::uint64_t nextTurn_ = 1;
-  /** What attempts took at the upstream; smoothed. */
+  /** Smoothed service time of attempts at the upstream. */
   double serviceMicros_;
   std::size_t running_ = 0;
-  /** Attempt ids that were taken or refused, and when to forget them. */
-  std::unordered_set<std::string> taken_;
-  std::set<std::pair<Instant, std::string>> takenOrder_;
-  /** Incarnations of the upstream that left or were replaced. */
-  std::deque<std::uint64_t> past_;
+  /** Accepted and refused attempt ids, with their expiry times. */
+  std::unordered_set<std::string> seenAttempts_;
+  std::set<std::pair<Instant, std::string>> seenAttemptsOrder_;
+  /** Upstream incarnations that left or were replaced. */
+  std::deque<std::uint64_t> endedIncarnations_;
 };
 
 void
@@ -150,27 +150,30 @@
 }
 
 void
-SideCore::Private::Remember(const std::string& aAttemptId, Instant aForgetAt)
+SideCore::Private::StoreAttemptId(const std::string& aAttemptId,
+                                  Instant aForgetAt)
 {
-  taken_.insert(aAttemptId);
-  takenOrder_.emplace(aForgetAt, aAttemptId);
+  seenAttempts_.insert(aAttemptId);
+  seenAttemptsOrder_.emplace(aForgetAt, aAttemptId);
 }
 
 bool
-SideCore::Private::IsPast(std::uint64_t aIncarnation) const
+SideCore::Private::HasEnded(std::uint64_t aIncarnation) const
 {
-  return std::find(past_.begin(), past_.end(), aIncarnation) != past_.end();
+  return std::find(endedIncarnations_.begin(),
+                   endedIncarnations_.end(),
+                   aIncarnation) != endedIncarnations_.end();
 }
 
 void
 SideCore::Private::EndIncarnation(std::uint64_t aIncarnation)
 {
-  if (IsPast(aIncarnation)) {
+  if (HasEnded(aIncarnation)) {
     return;
   }
-  past_.push_back(aIncarnation);
-  if (past_.size() > limits_.maxPastIncarnations_) {
-    past_.pop_front();
+  endedIncarnations_.push_back(aIncarnation);
+  if (endedIncarnations_.size() > limits_.maxEndedIncarnations_) {
+    endedIncarnations_.pop_front();
   }
 }
 
@@ -207,10 +210,11 @@
 }
 
 /**
- * How long an attempt that arrives now would wait for a slot.
+ * Estimates the time for which an attempt that arrives now waits for a slot.
  *
- * By what answered attempts took, or by how long those that run have taken
- * already: of an upstream that hangs nothing else is learned.
+ * The estimate uses the larger of the service time of answered attempts and the
+ * mean time that the running attempts have taken so far, because an upstream
+ * that hangs gives no answers to measure.
  */
 Micros
 SideCore::Private::ExpectedWait(Instant aNow) const
@@ -232,7 +236,7 @@
   return Micros(static_cast<std::int64_t>(service * ahead / slots));
 }
 
-/** When an attempt with as much time left would be taken, as things are. */
+/** Estimates when an attempt with the same remaining time would be accepted. */
 Millis
 SideCore::Private::RetryAfter(const DispatchMessage& aDispatch,
                               Instant aNow) const
@@ -266,8 +270,9 @@
   call.url_ = "http://" + upstream_->address_ + ":" +
               std::to_string(upstream_->port_) + attempt.dispatch_.target_;
   call.dispatch_ = attempt.dispatch_;
-  // Hanging up at the deadline would leave it unknown for ever whether a payout
-  // ran. The caller has its answer by then; the outcome is for its repeat.
+  // Closing the call at the deadline would leave the outcome of an at-most-once
+  // request unknown forever. The caller has its answer by then; the outcome is
+  // stored for a retry with the same key.
   const bool atMostOnce = !attempt.dispatch_.idempotent_;
   call.deadline_ =
     attempt.deadline_ + (atMostOnce ? limits_.outcomeGrace_ : Millis(0));
@@ -307,15 +312,15 @@
 void
 SideCore::Private::LeaveQueue(const Attempt& aAttempt)
 {
-  queue_.erase(aAttempt.turn_);
+  queue_.erase(aAttempt.queuePosition_);
   queuedBytes_ -= aAttempt.dispatch_.body_.size();
 }
 
 void
-SideCore::Private::LearnService(Micros aTook)
+SideCore::Private::UpdateServiceTime(Micros aTook)
 {
-  serviceMicros_ +=
-    kLearnService * (static_cast<double>(aTook.count()) - serviceMicros_);
+  serviceMicros_ += kServiceTimeSmoothing *
+                    (static_cast<double>(aTook.count()) - serviceMicros_);
 }
 
 void
@@ -334,7 +339,7 @@
   aAnswer.servedMicros_ =
     static_cast<std::uint64_t>((aNow - attempt.startedAt_).count());
   if (aAnswer.verdict_ == Verdict::Ran) {
-    LearnService(aNow - attempt.startedAt_);
+    UpdateServiceTime(aNow - attempt.startedAt_);
   }
   const std::string detail = aAnswer.status_ != 0
                                ? "status " + std::to_string(aAnswer.status_)
@@ -355,11 +360,12 @@
 }
 
 void
-SideCore::Private::ForgetOld(Instant aNow)
+SideCore::Private::RemoveExpiredIds(Instant aNow)
 {
-  while (!takenOrder_.empty() && takenOrder_.begin()->first <= aNow) {
-    taken_.erase(takenOrder_.begin()->second);
-    takenOrder_.erase(takenOrder_.begin());
+  while (!seenAttemptsOrder_.empty() &&
+         seenAttemptsOrder_.begin()->first <= aNow) {
+    seenAttempts_.erase(seenAttemptsOrder_.begin()->second);
+    seenAttemptsOrder_.erase(seenAttemptsOrder_.begin());
   }
 }
 
@@ -375,9 +381,10 @@
 {
   std::vector<SideAction> actions;
   Private& self = *private_;
-  // A repeat that was under way when the upstream said goodbye, or one of an
-  // old upstream that was frozen, would open a leaving upstream again.
-  if (self.IsPast(aAnnouncement.incarnation_)) {
+  // An announcement that was in flight when the upstream sent its goodbye, or
+  // one from an old upstream that was frozen, must not reopen a leaving
+  // upstream.
+  if (self.HasEnded(aAnnouncement.incarnation_)) {
     return actions;
   }
   const bool restarted =
@@ -385,7 +392,7 @@
     self.upstream_->incarnation_ != aAnnouncement.incarnation_;
   if (restarted) {
     self.EndIncarnation(self.upstream_->incarnation_);
-    self.RefuseQueued(actions, "The upstream was started anew.");
+    self.RefuseQueued(actions, "The upstream was started again.");
   }
   self.upstreamLeaving_ = false;
   self.upstream_ = aAnnouncement;
@@ -401,8 +408,8 @@
   Private& self = *private_;
   const std::uint64_t leaving =
     aIncarnation == 0 ? self.lastIncarnation_ : aIncarnation;
-  // Also if it is not announced now: a late repeat of its announcement must not
-  // open it again.
+  // Also applies if the upstream is not announced now: a late repeat of its
+  // announcement must not reopen it.
   self.EndIncarnation(leaving);
   const bool current =
     self.upstream_.has_value() && self.upstream_->incarnation_ == leaving;
@@ -420,15 +427,15 @@
 {
   std::vector<SideAction> actions;
   Private& self = *private_;
-  // A dispatch that arrives twice must not run twice, and the second must not
-  // be told "did not run", because the first may: it gets no answer at all.
-  if (self.taken_.contains(aDispatch.attemptId_)) {
+  // A duplicate dispatch must not run twice. It gets no answer, because "did
+  // not run" would be false if the first copy runs.
+  if (self.seenAttempts_.contains(aDispatch.attemptId_)) {
     return actions;
   }
   std::string reason = self.ReasonToRefuse(aDispatch, aNow);
   const Instant deadline = aNow + TimeLeft(aDispatch);
-  // A refused one too: its second copy must not run after all.
-  self.Remember(aDispatch.attemptId_, deadline + kRememberAttempts);
+  // Stores refused attempts too: a duplicate of one must not run.
+  self.StoreAttemptId(aDispatch.attemptId_, deadline + kAttemptIdLifetime);
   if (!reason.empty()) {
     self.Refuse(actions,
                 aLink,
@@ -442,8 +449,8 @@
   attempt.dispatch_ = aDispatch;
   attempt.deadline_ = deadline;
   attempt.arrivedAt_ = aNow;
-  attempt.turn_ = self.nextTurn_++;
-  self.queue_.emplace(attempt.turn_, aDispatch.attemptId_);
+  attempt.queuePosition_ = self.nextTurn_++;
+  self.queue_.emplace(attempt.queuePosition_, aDispatch.attemptId_);
   self.queuedBytes_ += aDispatch.body_.size();
   self.attempts_.emplace(aDispatch.attemptId_, std::move(attempt));
   self.StartQueued(actions, aNow);
@@ -457,8 +464,8 @@
   const auto found = private_->attempts_.find(aCancel.attemptId_);
   if (found == private_->attempts_.end() || found->second.link_ != aLink ||
       found->second.state_ != AttemptState::Queued) {
-    // What runs goes on: the upstream can't be made to forget it, and its
-    // answer is the only way to learn what became of it.
+    // A running attempt continues: the upstream can't cancel it, and its answer
+    // is the only source of the outcome.
     return actions;
   }
   private_->Refuse(actions,
@@ -583,7 +590,7 @@
                 self.limits_.retryAfter_);
     self.DropQueued(attemptId);
   }
-  self.ForgetOld(aNow);
+  self.RemoveExpiredIds(aNow);
   return actions;
 }
 
--- a/Tests/Unit/EntryCoreTest.cxx
+++ b/Tests/Unit/EntryCoreTest.cxx
@@ -28,7 +28,7 @@
 }
 
 RequestFacts
-Valuation(int aNumber, Instant aNow)
+IdempotentRequest(int aNumber, Instant aNow)
 {
   RequestFacts facts;
   facts.requestId_ = "r" + std::to_string(aNumber);
@@ -38,7 +38,7 @@
   return facts;
 }
 
-/** Sides that refuse every attempt at once. */
+/** Simulated sides that refuse every attempt immediately. */
 class RefusingSides
 {
 public:
@@ -49,8 +49,8 @@
         ++dispatched_;
         open_.push_back(*dispatch);
       } else if (const auto* answer = std::get_if<AnswerCaller>(&action)) {
-        ++told_;
-        toldToComeBack_ += answer->retryAfter_.count() > 0 ? 1 : 0;
+        ++answered_;
+        answeredWithRetryDelay_ += answer->retryAfter_.count() > 0 ? 1 : 0;
       }
     }
   }
@@ -69,8 +69,8 @@
   }
 
   int dispatched_ = 0;
-  int told_ = 0;
-  int toldToComeBack_ = 0;
+  int answered_ = 0;
+  int answeredWithRetryDelay_ = 0;
 
 private:
   std::deque<SendDispatch> open_;
@@ -78,9 +78,9 @@
 
 }
 
-// Ten runners are full and refuse all. A thousand valuations come within a
-// second; retried twice each, they would be three thousand attempts on runners
-// that are full already. Each caller must have its final answer all the same.
+// Ten runners are full and refuse every attempt of a thousand requests within a
+// second. Guards against two retries of each, which would put three thousand
+// attempts on full runners. Every caller must still get its final answer.
 Test(EntryCore, RetriesDoNotAmplifyAnOutage)
 {
   EntryCore core(EntryCore::Limits{});
@@ -95,20 +95,20 @@
                          now);
       }
     }
-    sides.Take(core.OnRequest(Valuation(request, now), now));
+    sides.Take(core.OnRequest(IdempotentRequest(request, now), now));
     sides.Refuse(core, now);
   }
-  cr_assert(sides.told_ == kRequests);
-  cr_assert(sides.toldToComeBack_ == kRequests);
+  cr_assert(sides.answered_ == kRequests);
+  cr_assert(sides.answeredWithRetryDelay_ == kRequests);
   cr_assert(sides.dispatched_ <= kRequests * 5 / 4,
             "%d attempts for %d requests",
             sides.dispatched_,
             kRequests);
 }
 
-// Hosts are replaced every day under new names. What an entry remembers of the
-// ones that went must not grow for ever.
-Test(EntryCore, ForgetsSidesThatAreSilentForLong)
+// Guards against unbounded growth of an entry's state for removed sides,
+// because hosts are replaced daily under new names.
+Test(EntryCore, RemovesSidesWithoutHeartbeats)
 {
   EntryCore core(EntryCore::Limits{});
   for (int side = 0; side < 100; ++side) {
@@ -118,27 +118,28 @@
   cr_assert(core.Membership().All().empty());
 }
 
-// The table service's answer to a payout's claim was lost. Had one row of its
-// group spoiled the whole group, the claim's second write in a group could be
-// spoiled likewise, and the payout would be refused although the table is well.
-Test(EntryCore, ClaimInDoubtIsReadAgainAlone)
+// The table service's answer to a claim was lost. Guards against a second write
+// in a shared batch: if an invalid row fails that batch as well, the request is
+// refused although the table works.
+Test(EntryCore, UnknownClaimIsRetriedAlone)
 {
   EntryCore core(EntryCore::Limits{});
   core.OnHeartbeat(ReadySide("side1", 1), kStart);
-  RequestFacts payout = Valuation(1, kStart);
-  payout.idempotent_ = false;
-  std::vector<EntryAction> actions = core.OnRequest(payout, kStart);
+  RequestFacts atMostOnce = IdempotentRequest(1, kStart);
+  atMostOnce.idempotent_ = false;
+  std::vector<EntryAction> actions = core.OnRequest(atMostOnce, kStart);
   const WriteClaim first = std::get<WriteClaim>(actions.back());
   cr_assert(!first.alone_);
   actions = core.OnClaimWritten(
     "r1", first.writeId_, { ClaimWrite::Unknown, 0, {} }, kStart);
   const WriteClaim second = std::get<WriteClaim>(actions.back());
-  cr_assert(second.alone_, "the claim in doubt goes with others again");
+  cr_assert(second.alone_,
+            "the claim with an unknown outcome is batched again");
 }
 
 namespace {
 
-/** Whether an attempt of the request went to a side. */
+/** Whether an attempt of the request was sent to a side. */
 bool
 IsDispatched(const std::vector<EntryAction>& aActions)
 {
@@ -147,7 +148,7 @@
   });
 }
 
-/** Whether an attempt in progress was given up. */
+/** Whether an attempt in flight was abandoned. */
 bool
 IsCancelled(const std::vector<EntryAction>& aActions)
 {
@@ -156,7 +157,7 @@
   });
 }
 
-/** Ticks as a lane does, from one time to another. */
+/** Ticks at the interval of a lane from one time to another. */
 void
 TickUntil(EntryCore& aCore, Instant aFrom, Instant aTo)
 {
@@ -167,39 +168,39 @@
 
 }
 
-// A machine stands still for some seconds (a busy host, a moved one), the entry
-// and its sides with it. The first caller after that is read before the sides'
-// heartbeats, and was told that no upstream is there, though all are. It must
-// be served whichever of the two is read first, and however long it took.
-Test(EntryCore, OwnStandstillIsNotTakenForSilenceOfSides)
+// The host of an entry and its sides stalls for some seconds (high load or
+// migration). Guards against refusing the first request after the stall, for
+// lack of an upstream, because it is read before the sides' heartbeats. The
+// order of reading and the length of the stall must not matter.
+Test(EntryCore, OwnStallDoesNotTimeOutSides)
 {
-  for (const int stoodStill : { 400, 1900, 2100, 5000, 60000 }) {
+  for (const int stallMillis : { 400, 1900, 2100, 5000, 60000 }) {
     for (const bool tickFirst : { false, true }) {
       EntryCore core(EntryCore::Limits{});
       TickUntil(core, kStart, kStart + Millis(1000));
       core.OnHeartbeat(ReadySide("side1", 1), kStart + Millis(1000));
-      const Instant now = kStart + Millis(1000 + stoodStill);
+      const Instant now = kStart + Millis(1000 + stallMillis);
       if (tickFirst) {
         core.OnTick(now);
       }
-      cr_assert(IsDispatched(core.OnRequest(Valuation(1, now), now)),
-                "Turned away after %d ms.",
-                stoodStill);
+      cr_assert(IsDispatched(core.OnRequest(IdempotentRequest(1, now), now)),
+                "The request was refused after %d ms.",
+                stallMillis);
     }
   }
 }
 
-// The same while a caller's request runs at a side whose answer is in the
-// entry's socket already, and the other side's heartbeat is read first. The
-// request must not be given up as lost, nor be sent to the other one as well.
-Test(EntryCore, OwnStandstillLeavesNoAttempt)
+// A request runs during a stall, its answer is already in the entry's socket,
+// and the heartbeat of another side is read first. Guards against abandoning
+// the request or sending it to the other side as well.
+Test(EntryCore, OwnStallAbandonsNoAttempt)
 {
   EntryCore core(EntryCore::Limits{});
   TickUntil(core, kStart, kStart + Millis(1000));
   const Instant sent = kStart + Millis(1000);
   core.OnHeartbeat(ReadySide("side1", 1), sent);
   core.OnHeartbeat(ReadySide("side2", 1), sent);
-  RequestFacts facts = Valuation(1, sent);
+  RequestFacts facts = IdempotentRequest(1, sent);
   facts.deadline_ = sent + Millis(10000);
   const std::vector<EntryAction> actions = core.OnRequest(facts, sent);
   cr_assert(IsDispatched(actions));
@@ -210,10 +211,10 @@
   cr_assert_not(IsCancelled(core.OnTick(awake + Millis(100))));
 }
 
-// The guard must not keep sides that are gone: what was not heard of for a
-// heartbeat's time after the standstill is silent, and so is what was silent
-// before it.
-Test(EntryCore, SideThatIsGoneIsSilentSoonAfterAStandstill)
+// Guards against the stall handling keeping removed sides usable: a side
+// without a heartbeat for the timeout after the stall is unresponsive, and so
+// is a side that was unresponsive before it.
+Test(EntryCore, RemovedSideTimesOutAfterAStall)
 {
   EntryCore core(EntryCore::Limits{});
   core.OnHeartbeat(ReadySide("gone", 1), kStart);
@@ -222,10 +223,11 @@
   core.OnTick(awake);
   TickUntil(core, awake, awake + Millis(1300));
   const Instant now = awake + Millis(1400);
-  cr_assert_not(IsDispatched(core.OnRequest(Valuation(1, now), now)));
+  cr_assert_not(IsDispatched(core.OnRequest(IdempotentRequest(1, now), now)));
 
   EntryCore other(EntryCore::Limits{});
   other.OnHeartbeat(ReadySide("gone", 1), kStart);
   TickUntil(other, kStart, kStart + Millis(2500));
-  cr_assert_not(IsDispatched(other.OnRequest(Valuation(2, awake), awake)));
+  cr_assert_not(
+    IsDispatched(other.OnRequest(IdempotentRequest(2, awake), awake)));
 }
