--- a/Source/Connection/BoundedInputArchive.h
+++ b/Source/Connection/BoundedInputArchive.h
@@ -16,13 +16,14 @@
 namespace cactusrail {
 
 /**
- * Reads what cereal's PortableBinaryOutputArchive wrote in little endian.
+ * Reads the little-endian output of cereal's PortableBinaryOutputArchive.
  *
- * cereal's own reader resizes a string or vector to the length that the message
- * states before it looks for the bytes, so nine hostile bytes take a gigabyte.
- * Here every length is compared with the bytes
- * that are left first, and lists grow element by element, so memory is bounded
- * by the size of the frame. Breaches throw cereal::Exception; Codec catches.
+ * cereal's own reader resizes a string or vector to the length stated in the
+ * message before it checks for the bytes, so a malicious message of nine bytes
+ * allocates a gigabyte. This archive first compares every length with the
+ * number of bytes left and grows lists element by element, so memory is bounded
+ * by the size of the frame. Malformed input throws cereal::Exception, which
+ * Codec catches.
  */
 class BoundedInputArchive : public cereal::InputArchive<BoundedInputArchive>
 {
@@ -58,12 +59,12 @@
 
 }
 
-/** Tells cereal which archive writes what this one reads. */
+/** Names the output archive that corresponds to this input archive. */
 template<>
 struct cereal::traits::detail::get_output_from_input<
   cactusrail::BoundedInputArchive>
 {
-  // NOLINTNEXTLINE(readability-identifier-naming): cereal names it so.
+  // NOLINTNEXTLINE(readability-identifier-naming): name required by cereal.
   using type = cereal::PortableBinaryOutputArchive;
 };
 
@@ -116,7 +117,7 @@
   aArchive.ReadBinary(aData.data, static_cast<std::size_t>(aData.size));
 }
 
-/** Lists of anything but numbers grow as their elements arrive. */
+/** Loads a list of non-arithmetic elements, growing it element by element. */
 template<class T, class Allocator>
 requires(!std::is_arithmetic_v<T>) inline void CEREAL_LOAD_FUNCTION_NAME(
   BoundedInputArchive& aArchive,
--- a/Source/Connection/Codec.h
+++ b/Source/Connection/Codec.h
@@ -10,29 +10,33 @@
 
 namespace cactusrail {
 
-/** The protocol's version; a frame of another one is refused, not guessed. */
+/** Protocol version; frames of any other version are rejected. */
 constexpr std::uint16_t kProtocolVersion = 1;
 
-/** The largest frame on a connection, in bytes, header included. */
+/** Maximum size of a frame on a connection, in bytes, including the header. */
 constexpr std::size_t kMaxFrameBytes = 8U << 20U;
 
-/** The largest datagram with its tag, in bytes: one Ethernet frame. */
+/** Maximum size of a datagram including its tag, in bytes: one Ethernet frame.
+ */
 constexpr std::size_t kMaxDatagramBytes = 1432;
 
-/** Length (4), version (2), type (2): little endian, before each payload. */
+/** Size of the header before each payload: length (4 bytes), version (2) and
+ * type (2), in little endian. */
 constexpr std::size_t kFrameHeaderBytes = 8;
 
-/** One message as a frame: header and payload. */
+/** Encodes a message as a frame of header and payload. */
 std::string
 EncodeFrame(const WireMessage& aMessage);
 
-/** The message in a whole frame, or why it can't be one. */
+/** Decodes the message in a complete frame; fails with the reason if the frame
+ * is invalid. */
 Result<WireMessage>
 DecodeFrame(std::span<const char> aFrame);
 
 /**
- * How long the frame is that starts here: 0 while its header is incomplete.
- * Fails if the header states another version or more than kMaxFrameBytes.
+ * Returns the size in bytes of the frame at the start of aBytes, or 0 while its
+ * header is incomplete. Fails if the header states another version or more than
+ * kMaxFrameBytes.
  */
 Result<std::size_t>
 FrameLength(std::span<const char> aBytes);
--- a/Source/Connection/DatagramSeal.h
+++ b/Source/Connection/DatagramSeal.h
@@ -10,17 +10,17 @@
 namespace cactusrail {
 
 /**
- * A message as a datagram: its frame and, if there are keys, a tag. A repeated
- * datagram has a right tag; the message's sequence and incarnation, which the
- * tag covers, tell the receiver that it is old.
+ * Encodes a message as a datagram: its frame and, if the ring has keys, a tag.
+ * A replayed datagram has a valid tag; the receiver detects the replay by the
+ * message's sequence and incarnation, which the tag covers.
  */
 std::string
 SealDatagram(const WireMessage& aMessage, const KeyRing& aRing);
 
 /**
- * The message of a datagram. Fails with Refused if no key of the ring made its
- * tag, with BadInput if it can't be read. Nothing of the message is decoded
- * before its tag is known to be right.
+ * Decodes the message of a datagram. Fails with Refused if no key of the ring
+ * produced its tag, and with BadInput if the message can't be decoded. No part
+ * of the message is decoded before its tag has been verified.
  */
 Result<WireMessage>
 OpenDatagram(std::span<const char> aBytes, const KeyRing& aRing);
--- a/Source/Connection/FleetMessages.h
+++ b/Source/Connection/FleetMessages.h
@@ -7,12 +7,13 @@
 namespace cactusrail {
 
 /**
- * The messages of batch and long-running work: between the entry that leads and
- * the sides, and between the other entries and the one that leads. Times are in
- * microseconds; clocks of two hosts are never compared, only echoed.
+ * The messages for batch and long-running work, exchanged between the leading
+ * entry and the sides and between the leading entry and the other entries.
+ * Times are in microseconds. Clocks of two hosts are never compared; a host's
+ * clock reading is only echoed to it.
  */
 
-/** What a worker has, or what tasks take of it. */
+/** Capacity of a worker, or resources that tasks use. */
 struct FleetRoom
 {
   std::int64_t cpuMilli_ = 0;
@@ -28,21 +29,21 @@
   }
 };
 
-/** A worker as it described itself to the side next to it. */
+/** Self-description of a worker, as sent to the side on its host. */
 struct WorkerDescription
 {
-  /** One life of the worker; a worker that crashed has a new one. */
+  /** Incarnation of the worker; a restart after a crash changes it. */
   std::string id_;
   std::string service_;
   std::string dataCentre_;
   std::string rack_;
   std::vector<std::string> labels_;
   FleetRoom room_;
-  /** It is leaving: no new task starts there. */
+  /** Whether the worker is draining; no new task starts on it. */
   bool draining_ = false;
-  /** At least so long does a draining worker stay. */
+  /** Minimum remaining time of a draining worker. */
   std::uint64_t remainingMicros_ = 0;
-  /** It answers the side's calls. */
+  /** Whether the worker responds to the side's calls. */
   bool answers_ = false;
 
   bool operator==(const WorkerDescription&) const = default;
@@ -66,21 +67,21 @@
 enum class EndKind : std::uint8_t
 {
   Done = 0,
-  /** By its own fault or its worker's. */
+  /** Failed because of the task or its worker. */
   Failed = 1,
   Stopped = 2,
-  /** Its lease ran out. */
+  /** Its lease expired. */
   Lapsed = 3,
   /** Another member of its gang ended. */
   Broken = 4,
-  /** The other members of its gang did not come. */
+  /** The other members of its gang did not start. */
   Alone = 5,
 };
 
-/** The end of a run, as the worker lists it until it is acknowledged. */
+/** The end of a run; the worker lists it until it is acknowledged. */
 struct EndFact
 {
-  /** Rises by one with each end of this life of the worker. */
+  /** Increases by one with each end in this incarnation of the worker. */
   std::uint64_t number_ = 0;
   std::string task_;
   std::uint32_t run_ = 0;
@@ -94,17 +95,18 @@
   }
 };
 
-/** A run that is on a worker, or on its way there. */
+/** A run that is on a worker, or whose start is in flight. */
 struct RunFact
 {
   std::string task_;
   std::uint32_t run_ = 0;
-  /** The side has been told to start it and knows no answer yet. */
+  /** The side has received the start order but no response of the worker. */
   bool starting_ = false;
   std::string checkpoint_;
-  /** Work done, 0 to 100; 100 for a long-running task that is at work. */
+  /** Progress, 0 to 100; 100 for a long-running task that is operating. */
   std::uint32_t percent_ = 0;
-  /** Tail latency in ms of a task with a latency objective; else cpu used. */
+  /** Tail latency in ms of a task with a latency objective; for other tasks the
+   * CPU used. */
   std::uint32_t measure_ = 0;
 
   template<class Archive>
@@ -114,21 +116,21 @@
   }
 };
 
-/** Why a worker did not take a run. */
+/** Reason why a worker refused a run. */
 enum class StartRefusal : std::uint8_t
 {
-  /** It has seen this run, or a later one, end. */
+  /** This run, or a later one of the task, has already ended there. */
   Old = 0,
   NoRoom = 1,
-  /** Its advice ticket is not valid there. */
+  /** The run's advice ticket is not valid on this worker. */
   Ticket = 2,
-  /** Any other answer that says that nothing was started. */
+  /** Any other response stating that nothing was started. */
   Other = 3,
-  /** Its order was too old before the worker had taken it. */
+  /** The start order expired before the worker accepted it. */
   Expired = 4,
 };
 
-/** A run that was ordered and surely did not start. */
+/** A run that was ordered and is known not to have started. */
 struct RefusedRun
 {
   std::string task_;
@@ -142,18 +144,18 @@
   }
 };
 
-/** Side to leading entry: all that is known of the worker, whole each time. */
+/** Side to leading entry: the complete state of the worker. */
 struct FleetReport
 {
-  /** The side's lease clock; echoed in the next orders. */
+  /** Reading of the side's lease clock; echoed in the next orders. */
   std::uint64_t clockMicros_ = 0;
-  /** The last orders that this report takes into account. */
+  /** Sequence number of the last orders that this report reflects. */
   std::uint64_t ordersSeen_ = 0;
   WorkerDescription worker_;
-  /** How old what is said of the runs' work is. */
+  /** Age of the progress figures of the runs. */
   std::uint64_t measuredMicrosAgo_ = 0;
   std::vector<RunFact> runs_;
-  /** Ends that were not reported on this link before. */
+  /** Ends not yet reported on this link. */
   std::vector<EndFact> ends_;
   std::vector<RefusedRun> refused_;
 
@@ -170,7 +172,7 @@
   }
 };
 
-/** A run that is new on this link, and its number in later reports there. */
+/** A run that is new on this link, with its number in later reports. */
 struct NumberedRun
 {
   std::uint16_t number_ = 0;
@@ -183,7 +185,7 @@
   }
 };
 
-/** What changed of a run that the leader knows by its number; see RunFact. */
+/** Changed figures of a run, identified by its number; see RunFact. */
 struct RunFigure
 {
   std::uint16_t number_ = 0;
@@ -211,18 +213,18 @@
 };
 
 /**
- * Side to leading entry: what changed since the last report on this link, which
- * was whole or such a change itself. Runs of a whole report have the numbers of
- * their places in it. See ReportEncoder and ReportDecoder.
+ * Side to leading entry: the changes since the last report on this link, which
+ * was either a full report or another change. The runs of a full report are
+ * numbered by their position in it. See ReportEncoder and ReportDecoder.
  */
 struct FleetReportChange
 {
-  /** 1 after a whole report, then rising by one. */
+  /** 1 after a full report, then increasing by one. */
   std::uint32_t sequence_ = 0;
   std::uint64_t clockMicros_ = 0;
   std::uint64_t ordersSeen_ = 0;
   std::uint64_t measuredMicrosAgo_ = 0;
-  /** One if it changed, else none. */
+  /** One element if the description changed, otherwise empty. */
   std::vector<WorkerDescription> worker_;
   std::vector<NumberedRun> added_;
   std::vector<RunFigure> figures_;
@@ -254,7 +256,7 @@
   std::uint32_t run_ = 0;
   std::string payload_;
   std::string checkpoint_;
-  /** The advice service's permission; empty if its queue needs none. */
+  /** Permission from the advice service; empty if the queue requires none. */
   std::string ticket_;
 
   template<class Archive>
@@ -280,7 +282,7 @@
 {
   std::string task_;
   std::uint32_t run_ = 0;
-  /** Share of its speed at which the task works, 0 to 100. */
+  /** Percentage of its full speed at which the task runs, 0 to 100. */
   std::uint32_t percent_ = 100;
 
   template<class Archive>
@@ -291,26 +293,26 @@
 };
 
 /**
- * Leading entry to side: orders, and the authority to hold what runs there
- * until so long after the echoed reading of the side's own clock. The side
- * takes orders of the highest epoch it has seen only.
+ * Leading entry to side: orders, and the authority to renew the leases of the
+ * side's runs until holdMicros_ after the echoed reading of the side's clock.
+ * The side accepts only orders of the highest epoch that it has received.
  */
 struct FleetOrders
 {
   std::uint64_t epoch_ = 0;
-  /** Rises by one with each message on this link. */
+  /** Increases by one with each message on this link. */
   std::uint64_t sequence_ = 0;
   std::uint64_t echoMicros_ = 0;
   std::uint64_t holdMicros_ = 0;
-  /** The side watches its worker closely until so long after the echoed clock;
-   * 0 for not. */
+  /** Time after the echoed clock reading until which the side uses
+   * high-frequency reporting; 0 disables it. */
   std::uint64_t watchMicros_ = 0;
-  /** The starts are void once the side's own clock reads this; 0 if there are
-   * none. */
+  /** Reading of the side's clock at which the starts expire; 0 without starts.
+   */
   std::uint64_t startsUntilMicros_ = 0;
-  /** The worker's life that the orders and the acknowledgement are for. */
+  /** Incarnation of the worker that orders and acknowledgement apply to. */
   std::string workerId_;
-  /** Ends up to this one are stored; the worker may forget them. */
+  /** Number of the last stored end; the worker may discard ends up to it. */
   std::uint64_t endsStored_ = 0;
   std::vector<StartOrder> starts_;
   std::vector<StopOrder> stops_;
@@ -333,20 +335,21 @@
   }
 };
 
-/** What one entry asks of the entry that leads. */
+/** Requests of an entry to the leading entry. */
 enum class FleetQuestion : std::uint8_t
 {
-  /** Take note of a job that is stored already. */
+  /** Notification of a job that is already stored. */
   JobStored = 0,
-  /** Take note of a cancellation that is stored already. */
+  /** Notification of a cancellation that is already stored. */
   CancelStored = 1,
-  /** What became of a job. */
+  /** Query of the state of a job. */
   State = 2,
-  /** How many jobs of a queue wait for their first start. */
+  /** Query of the number of jobs in a queue that wait for their first start. */
   Waiting = 3,
-  /** Store a job, as the asker does not reach the table service. */
+  /** Store a job, because the requester can't reach the table service. */
   StoreJob = 4,
-  /** Store a cancellation, for the same reason. */
+  /** Store a cancellation, because the requester can't reach the table service.
+   */
   StoreCancel = 5,
 };
 
@@ -354,9 +357,9 @@
 {
   std::uint64_t id_ = 0;
   FleetQuestion question_ = FleetQuestion::State;
-  /** A job's id, or a queue's key. */
+  /** Id of a job, or key of a queue. */
   std::string subject_;
-  /** The job as RecordCodec writes it, where it is to be stored or noted. */
+  /** Job encoded by RecordCodec, if the request stores or announces one. */
   std::string record_;
 
   template<class Archive>
@@ -369,16 +372,17 @@
 enum class FleetOutcome : std::uint8_t
 {
   Ok = 0,
-  /** It leads no more, or has not read everything yet. */
+  /** The entry no longer leads, or has not read the whole table yet. */
   NotLeading = 1,
-  /** It knows no such job; it may be stored all the same. */
+  /** The job is unknown to the entry, but may be stored nevertheless. */
   Unknown = 2,
-  /** Surely not stored. */
+  /** The write had no effect. */
   NotStored = 3,
-  /** It may have been stored. */
+  /** Unknown outcome: the write may have taken effect. */
   InDoubt = 4,
-  /** It leads no more, for want of the table or of processor time; the asker,
-   * which has both, takes over. Answers what was told without a question. */
+  /** The entry gave up leadership, because it lacks access to the table or
+   * processor time; the recipient, which has both, takes over. Sent without a
+   * preceding question. */
   TakeOver = 5,
 };
 
@@ -386,8 +390,8 @@
 {
   std::uint64_t id_ = 0;
   FleetOutcome outcome_ = FleetOutcome::Ok;
-  /** A JobState, a count, or the version of the leader's row that is yielded.
-   */
+  /** A JobState, a count, or the version of the leader's row when leadership is
+   * handed over. */
   std::uint64_t value_ = 0;
 
   template<class Archive>
@@ -397,11 +401,12 @@
   }
 };
 
-/** Entry to entry: the newest configuration, for those cut off the table. */
+/** Entry to entry: the newest configuration, for entries that can't reach the
+ * table service. */
 struct FleetConfigurationMessage
 {
   std::int64_t version_ = 0;
-  /** The document as the operator wrote it. */
+  /** Document as written by the operator. */
   std::string document_;
 
   template<class Archive>
@@ -411,14 +416,14 @@
   }
 };
 
-/** Opener to acceptor, first: who opens the link. */
+/** Opener to acceptor, first message: identity of the opener. */
 struct FleetHelloMessage
 {
   std::string node_;
-  /** The opener is the entry that leads, and sends orders. */
+  /** Whether the opener is the leading entry, which sends orders. */
   bool leads_ = false;
   std::uint64_t epoch_ = 0;
-  /** Of an entry's host, in thousandths of a processor. */
+  /** Processor capacity of an entry's host, in thousandths of a processor. */
   std::uint32_t milliProcessors_ = 0;
 
   template<class Archive>
--- a/Source/Connection/FrameReader.h
+++ b/Source/Connection/FrameReader.h
@@ -11,37 +11,38 @@
 
 namespace cactusrail {
 
-/** A frame as it arrived; valid until the reader's next call. */
+/** An undecoded frame; valid until the next call on the reader. */
 struct RawFrame
 {
   std::span<const char> frame_;
-  /** The bytes after it that authenticate it; empty without keys. */
+  /** Authentication tag that follows the frame; empty without keys. */
   std::span<const char> tag_;
 };
 
 /**
- * Cuts the bytes of one connection into messages. Owned by the connection; a
- * reader that failed once stays failed, since the next frame's start is lost.
+ * Splits the byte stream of one connection into messages. Owned by the
+ * connection. A reader that failed once keeps failing, since the start of the
+ * next frame is unknown.
  */
 class FrameReader
 {
 public:
-  /** Takes the bytes that arrived; returns the messages that they complete. */
+  /** Appends received bytes and returns the messages that they complete. */
   Result<std::vector<WireMessage>> Take(std::span<const char> aBytes);
 
-  /** Takes the bytes that arrived, for Next(). */
+  /** Appends received bytes to the buffer that Next() reads. */
   void Append(std::span<const char> aBytes);
 
   /**
-   * The next frame that is there whole with aTagBytes after it. Fails as soon
-   * as the header states more than aMaxFrame bytes.
+   * Returns the next frame once it and the aTagBytes after it are complete.
+   * Fails as soon as the header states more than aMaxFrame bytes.
    */
   Result<std::optional<RawFrame>> Next(std::size_t aTagBytes,
                                        std::size_t aMaxFrame);
 
 private:
   std::string pending_;
-  /** Where the next frame starts in pending_. */
+  /** Offset of the next frame in pending_. */
   std::size_t start_ = 0;
 };
 
--- a/Source/Connection/FrameSigner.h
+++ b/Source/Connection/FrameSigner.h
@@ -8,28 +8,28 @@
 
 namespace cactusrail {
 
-/** Bytes of a tag: HMAC-SHA256, whole. */
+/** Size of a tag in bytes: an untruncated HMAC-SHA256. */
 constexpr std::size_t kTagBytes = 32;
 
-/** Bytes of a nonce. */
+/** Size of a nonce in bytes. */
 constexpr std::size_t kNonceBytes = 16;
 
-/** The HMAC-SHA256 of a message, kTagBytes long. */
+/** Returns the HMAC-SHA256 of a message, kTagBytes long. */
 std::string
 MakeTag(std::string_view aSecret, std::string_view aMessage);
 
 /**
- * Compares two tags in a time that depends on their lengths only, so that a
- * stranger can't find a tag byte by byte from how soon he is refused.
+ * Compares two tags in a time that depends only on their lengths, which
+ * prevents timing attacks that find a tag byte by byte.
  */
 bool
 SameTag(std::string_view aLeft, std::string_view aRight);
 
-/** Fresh random bytes, from the system's generator. */
+/** Returns kNonceBytes random bytes from the system's generator. */
 std::string
 MakeNonce();
 
-/** Which way a frame goes on a link. */
+/** Direction of a frame on a link. */
 enum class FrameDirection : std::uint8_t
 {
   FromOpener = 1,
@@ -37,16 +37,16 @@
 };
 
 /**
- * Tags the frames of one direction of one link. The tag covers the direction
- * and the frame's number, so that a frame that is repeated, left out, moved,
- * sent back or brought from another link has a wrong tag.
+ * Computes the tags of the frames in one direction of one link. The tag covers
+ * the direction and the frame's number, so a frame that is replayed, dropped,
+ * reordered, reflected or copied from another link fails verification.
  */
 class FrameSigner
 {
 public:
   FrameSigner(std::string aSessionKey, FrameDirection aDirection);
 
-  /** The tag of the next frame; each call counts on. */
+  /** Returns the tag of the next frame; each call increments its number. */
   std::string NextTag(std::string_view aFrame);
 
 private:
--- a/Source/Connection/GuardedSocket.h
+++ b/Source/Connection/GuardedSocket.h
@@ -9,18 +9,18 @@
 
 namespace cactusrail {
 
-/** What a caller may send before the HTTP library sees any of it. */
+/** Limits on a request, enforced before it reaches the HTTP library. */
 struct HttpLimits
 {
   std::size_t maxHeadBytes_ = 16U << 10U;
   std::size_t maxBodyBytes_ = 1U << 20U;
-  /** A request must be there whole this long after its first byte. */
+  /** Maximum time between the first byte of a request and its last. */
   Millis receiveTimeout_{ 10000 };
-  /** A connection without a request is closed after this long. */
+  /** Time after which a connection without a request is closed. */
   Millis idleTimeout_{ 60000 };
 };
 
-/** Counts of what the guard turned away, for the metrics page. */
+/** Numbers of rejected requests and lost callers, for the metrics page. */
 struct HttpGuardCounts
 {
   std::uint64_t headTooLarge_ = 0;
@@ -31,19 +31,19 @@
 };
 
 /**
- * A caller's connection as the HTTP library sees it. Owned by the library once
- * handed over; the real socket is inside.
+ * Wraps the socket of a caller's connection for the HTTP library, which owns
+ * the wrapper once it has been passed on.
  *
  * Works around these faults of QHttpServer 6.4.2:
- * - the caller hangs up while its request is handled, and writing the answer
- *   crashes the process: the library is told of the end only after
- *   FinishRequest();
- * - two pipelined requests are answered out of order: the second is held back
- *   until the first has its answer;
- * - a body announced as gigabytes is buffered whole, and a dripped request is
- *   waited for without end: only a complete request within the limits and the
- *   time allowed is passed on;
- * - two Content-Length headers are accepted: refused here.
+ * - If the caller disconnects while its request is handled, writing the
+ *   response crashes the process. The disconnect is therefore signalled to the
+ *   library only after FinishRequest().
+ * - Two pipelined requests are answered out of order. The second is therefore
+ *   withheld until the first has been answered.
+ * - A body announced as gigabytes is buffered whole, and a request sent byte by
+ *   byte never times out. Only a complete request within the size and time
+ *   limits is therefore passed on.
+ * - Two Content-Length headers are accepted. This class rejects them.
  */
 class GuardedSocket : public QTcpSocket
 {
@@ -56,28 +56,29 @@
                 QObject* aParent);
   ~GuardedSocket() override;
 
-  /** The answer to the request in progress has been written whole. */
+  /** Marks the response to the current request as completely written. */
   void FinishRequest();
 
   /**
-   * A planned stop began: the connection closes after the answers to what has
-   * arrived, part of a request included. It does not close yet if it is idle.
+   * Closes the connection, for a graceful shutdown, after the responses to all
+   * received requests, including one received in part. An idle connection
+   * stays open for now.
    */
   void CloseAfterAnswer();
 
-  /** The connection closes now if nothing has arrived that needs an answer. */
+  /** Closes the connection as soon as no received request awaits a response. */
   void CloseWhenIdle();
 
-  /** The answer about to be written is the connection's last. */
+  /** Whether the next response is the last one on the connection. */
   bool AnswersLast() const;
 
-  /** The caller has hung up; its answer has nowhere to go. */
+  /** Whether the caller has disconnected; its response is discarded. */
   bool CallerGone() const;
 
-  /** A request, or the first part of one, has arrived and has no answer. */
+  /** Whether a request, complete or partial, has no response yet. */
   bool Busy() const;
 
-  // The names of overridden functions are Qt's.
+  // Qt defines the names of the overridden functions.
   // NOLINTBEGIN(readability-identifier-naming)
   qint64 bytesAvailable() const override;
   bool canReadLine() const override;
@@ -87,7 +88,7 @@
   // NOLINTEND(readability-identifier-naming)
 
 Q_SIGNALS:
-  /** The caller hung up while its request was being handled. */
+  /** Emitted when the caller disconnects while its request is handled. */
   void CallerHungUp();
 
 protected:
--- a/Source/Connection/HttpCaller.h
+++ b/Source/Connection/HttpCaller.h
@@ -11,19 +11,18 @@
 
 namespace cactusrail {
 
-/** A request that this process makes of the platform, a worker or an upstream.
- */
+/** An HTTP request to the platform, a worker or an upstream. */
 struct HttpCall
 {
   std::string method_;
-  /** "http://IP:PORT/path?query". */
+  /** URL in the form "http://IP:PORT/path?query". */
   std::string url_;
   HeaderList headers_;
   std::string body_;
   Instant deadline_;
 };
 
-/** What the server answered, whole. */
+/** The complete response of the server. */
 struct HttpReply
 {
   int status_ = 0;
@@ -35,13 +34,14 @@
  * Makes HTTP calls through Qt, in the thread that created it.
  *
  * Works around these faults of QNetworkAccessManager 6.4.2:
- * - it sends a POST a second time by itself when the connection ends without an
- *   answer: bodies come from a device that can't be rewound, so the library
- *   fails the call instead;
- * - it queues calls beyond six to one host unseen: calls are spread over
- *   managers, one call at a time each, and the caller of this class bounds
- * them;
- * - an answer that ends before its Content-Length must not pass as whole.
+ * - It resends a POST when the connection ends without a response. Bodies are
+ *   therefore read from a device that can't be rewound, so that the library
+ *   fails the call instead.
+ * - It silently queues calls beyond six to one host. Calls are therefore
+ *   distributed over managers with one call at a time each; the user of this
+ *   class limits their number.
+ * - It accepts a response that ends before its Content-Length. This class
+ *   reports such a response as a failure.
  */
 class HttpCaller
 {
@@ -52,12 +52,13 @@
   ~HttpCaller();
 
   /**
-   * Starts a call; the callback comes once, from the event loop. A Failure says
-   * DidNotRun only if the connection was never made.
+   * Starts a call and returns its id. The event loop invokes the callback
+   * exactly once. A Failure has the verdict DidNotRun only if the connection
+   * was never established.
    */
   std::uint64_t Start(HttpCall aCall, Callback aCallback);
 
-  /** Ends a call; its callback comes with MayHaveRun. */
+  /** Aborts a call; its callback receives a Failure with MayHaveRun. */
   void Abort(std::uint64_t aCallId);
 
   std::size_t InFlight() const;
--- a/Source/Connection/HttpFraming.h
+++ b/Source/Connection/HttpFraming.h
@@ -8,20 +8,19 @@
 namespace cactusrail {
 
 /**
- * Where the request that starts a byte stream ends. This does not parse HTTP,
- * which is the library's work; it finds the bounds that the library does not
- * check.
+ * Sizes of the first request in a byte stream. The HTTP library parses the
+ * request; these are the sizes that the library does not check.
  */
 struct HttpRequestBounds
 {
-  /** Bytes of the request line, the headers and the empty line. */
+  /** Size in bytes of the request line, the headers and the empty line. */
   std::size_t headBytes_ = 0;
   std::size_t bodyBytes_ = 0;
-  /** The caller asked for the connection to be closed after the answer. */
+  /** Whether the connection closes after the response, as the caller asked. */
   bool lastOnConnection_ = false;
 };
 
-/** Reads the bounds from a whole head, the empty line included. */
+/** Reads the bounds from a complete head, including the empty line. */
 Result<HttpRequestBounds>
 ReadHttpBounds(std::string_view aHead);
 
--- a/Source/Connection/HttpFront.h
+++ b/Source/Connection/HttpFront.h
@@ -14,7 +14,7 @@
 
 namespace cactusrail {
 
-/** An HTTP answer that is ready to be written. */
+/** An HTTP response that is ready to be written. */
 struct HttpAnswer
 {
   int status_ = 200;
@@ -24,9 +24,9 @@
 };
 
 /**
- * One HTTP request and the right to answer it once. Copies share that right;
- * an exchange that is dropped unanswered answers 500, so no caller waits for
- * nothing.
+ * One HTTP request and its single response. Copies share the response. If the
+ * last copy is destroyed without a response, the caller receives status 500
+ * instead of waiting until its timeout.
  */
 class HttpExchange
 {
@@ -36,21 +36,21 @@
   explicit HttpExchange(std::shared_ptr<Private> aPrivate);
 
   const std::string& Method() const;
-  /** The path alone, without the query. */
+  /** Path without the query. */
   const std::string& Path() const;
-  /** Path and query as the caller sent them. */
+  /** Path and query, as sent by the caller. */
   const std::string& Target() const;
-  /** The query's value for a key; empty if there is none. */
+  /** Returns the value of a query parameter; empty if it is absent. */
   std::string Query(std::string_view aKey) const;
-  /** The first header of that name, in any case; empty if there is none. */
+  /** Returns the first header of that name, ignoring case; empty if absent. */
   std::string Header(std::string_view aName) const;
   const HeaderList& Headers() const;
   const std::string& Body() const;
 
-  /** Writes the answer; a second one is ignored. */
+  /** Writes the response; any further call is ignored. */
   void Answer(const HttpAnswer& aAnswer) const;
 
-  /** Calls back if the caller hangs up before its answer. */
+  /** Sets the callback for a caller that disconnects before its response. */
   void OnCallerHungUp(std::function<void()> aCallback) const;
 
 private:
@@ -58,8 +58,8 @@
 };
 
 /**
- * Takes HTTP requests on one address, in the thread that created it. Several
- * fronts, each in a thread of its own, may share one port.
+ * HTTP server on one address, running in the thread that created it. Several
+ * instances, each in its own thread, may share one port.
  */
 class HttpFront : public QObject
 {
@@ -68,7 +68,7 @@
 public:
   using Handler = std::function<void(HttpExchange)>;
 
-  /** Listens on an IP number; port 0 takes a free one. */
+  /** Listens on an IP address; port 0 selects a free port. */
   static Result<std::unique_ptr<HttpFront>> Listen(std::string_view aAddress,
                                                    std::uint16_t aPort,
                                                    const HttpLimits& aLimits,
@@ -78,21 +78,22 @@
   std::uint16_t Port() const;
   const HttpGuardCounts& Counts() const;
 
-  /** Every connection closes after its next answer; all are still taken. */
+  /** Closes each connection after its next response; accepts new ones. */
   void CloseAfterAnswers();
 
   /**
-   * Takes no further connection, but loses none that was made: see
-   * RefuseHandshakes() in the source. Idle connections close, busy ones after
-   * answering. Listening() is true until the last has been accepted.
+   * Rejects new connections without losing an established one; see
+   * RefuseHandshakes() in the source. Idle connections close at once, busy ones
+   * after their response. Listening() is true until the last established
+   * connection has been accepted.
    */
   void StopListening();
   bool Listening() const;
 
-  /** Connections on which a request, or part of one, has no answer yet. */
+  /** Number of connections with a complete or partial unanswered request. */
   std::size_t Unanswered() const;
 
-  /** Open connections, those that still write an answer included. */
+  /** Number of open connections, including those still writing a response. */
   std::size_t Connections() const;
 
 private:
--- a/Source/Connection/KeyRing.h
+++ b/Source/Connection/KeyRing.h
@@ -11,30 +11,31 @@
 
 namespace cactusrail {
 
-/** A key that operators and our processes share. */
+/** A key shared by operators and the processes of the system. */
 struct SharedKey
 {
-  /** Not secret; says which key made a tag. */
+  /** Public identifier of the key that produced a tag. */
   std::string id_;
-  /** The bytes; never logged, shown or sent. */
+  /** Key bytes; never logged, displayed or sent. */
   std::string secret_;
 };
 
 /**
- * The shared keys of a process, from its settings. The first one signs; all
- * are accepted, so that a key can be changed host by host.
+ * The shared keys of a process, read from its settings. The first key signs;
+ * all keys are accepted, so that a key can be rotated host by host.
  */
 class KeyRing
 {
 public:
-  /** Each look-up is a walk, and each unknown tag is tried with every key. */
+  /** Maximum number of keys: look-ups are linear, and verification of an
+   * unknown tag tries every key. */
   static constexpr std::size_t kMaxKeys = 4;
 
-  /** Reads "ID:HEX,ID:HEX"; an empty text gives an empty ring. */
+  /** Parses "ID:HEX,ID:HEX"; an empty text gives an empty ring. */
   static Result<KeyRing> Parse(std::string_view aText);
 
   bool Empty() const { return keys_.empty(); }
-  /** The key that signs; the ring must not be empty. */
+  /** Returns the signing key; the ring must not be empty. */
   const SharedKey& Signer() const { return keys_.front(); }
   const SharedKey* Find(std::string_view aId) const;
   std::span<const SharedKey> Keys() const { return keys_; }
@@ -44,8 +45,8 @@
 };
 
 /**
- * The key ring in force in this process. Safe from any thread; a new ring takes
- * effect with the next connection, datagram or request, and cuts none.
+ * Holds the current key ring of this process. Thread-safe. A new ring takes
+ * effect with the next connection, datagram or request; open connections stay.
  */
 class KeyHolder
 {
@@ -53,7 +54,8 @@
   std::shared_ptr<const KeyRing> Current() const;
   void Replace(KeyRing aRing);
 
-  /** The holder of this process; empty until main fills it. */
+  /** Returns the holder of this process; its ring is empty until main sets it.
+   */
   static KeyHolder& OfProcess();
 
 private:
--- a/Source/Connection/LinkSession.h
+++ b/Source/Connection/LinkSession.h
@@ -14,27 +14,27 @@
 
 namespace cactusrail {
 
-/** What bytes that arrived on a link led to. */
+/** Result of processing the bytes received on a link. */
 struct LinkInput
 {
   std::vector<WireMessage> messages_;
-  /** Of the handshake; to be written at once. */
+  /** Handshake reply, to be written immediately. */
   std::string reply_;
 };
 
 /**
- * The handshake and the tags of one link; no I/O. Both ends prove that they
- * hold a key without sending it:
+ * Handshake and frame tags of one link, without I/O. Both ends prove possession
+ * of a key without sending it:
  *
  *   opener    LinkHello(nonce)
  *   acceptor  LinkProof(key id, nonce, tag over both nonces)
  *   opener    LinkProof(key id, tag over both nonces)
  *
- * From then on each frame is followed by its tag under a key that was made of
- * both nonces, so that nothing recorded on another link is accepted. With an
- * empty ring the link stands at once and has no tags.
+ * After the handshake each frame is followed by its tag under a session key
+ * derived from both nonces, so frames recorded on another link are rejected.
+ * With an empty ring the link is established immediately and has no tags.
  *
- * A link keeps the key it was opened with: changing keys cuts no link.
+ * A link keeps the key it was opened with, so key rotation closes no link.
  */
 class LinkSession
 {
@@ -43,19 +43,19 @@
               std::shared_ptr<const KeyRing> aRing,
               std::string aNonce);
 
-  /** What the opener writes when the connection stands; may be empty. */
+  /** Returns the bytes that the opener writes first; may be empty. */
   std::string Start();
 
   /**
-   * Takes bytes that arrived. Fails with Refused if the peer does not prove
-   * its key or a tag is wrong; the link must end then.
+   * Processes received bytes. Fails with Refused if the peer's proof or a tag
+   * is invalid; the link must then be closed.
    */
   Result<LinkInput> Take(std::span<const char> aBytes);
 
-  /** Frames may be sent. */
+  /** Whether the handshake is complete, so that frames may be sent. */
   bool Established() const { return established_; }
 
-  /** A frame as it is written; the link must be established. */
+  /** Returns the frame with its tag; the link must be established. */
   std::string Seal(std::string aFrame);
 
 private:
--- a/Source/Connection/OperatorSignature.h
+++ b/Source/Connection/OperatorSignature.h
@@ -11,11 +11,11 @@
 
 namespace cactusrail {
 
-/** What a signature covers of a request on an operators' address. */
+/** The parts of a request to an operators' address that a signature covers. */
 struct SignedRequest
 {
   std::string_view method_;
-  /** "IP:PORT" of the process that is asked. */
+  /** "IP:PORT" of the process that receives the request. */
   std::string_view host_;
   /** Path and query. */
   std::string_view target_;
@@ -23,8 +23,8 @@
 };
 
 /**
- * The Authorization header "HMAC id:seconds-nonce:tag" for a request. The key
- * itself is never sent. aNonce is kNonceBytes long.
+ * Returns the Authorization header "HMAC id:seconds-nonce:tag" for a request.
+ * The key itself is never sent. aNonce must be kNonceBytes long.
  */
 std::string
 SignRequest(const SignedRequest& aRequest,
@@ -32,30 +32,31 @@
             std::int64_t aUnixSeconds,
             std::string_view aNonce);
 
-/** Signs a call with this process's key; does nothing if it has none. */
+/** Signs a call with the key of this process; no-op if there is no key. */
 void
 SignCall(HttpCall& aCall);
 
 /**
- * Decides whether a request on an operators' address is signed. Holds the
- * nonces of the last minutes; pure otherwise: clocks and keys are given.
+ * Verifies the signatures of requests to an operators' address. Its only state
+ * is the nonces of the last minutes; clock and keys are passed in.
  */
 class SignatureChecker
 {
 public:
-  /** How far the clocks of two hosts may be apart, in seconds. */
+  /** Maximum clock difference between two hosts, in seconds. */
   static constexpr std::int64_t kMaxSkewSeconds = 60;
-  /** Nonces remembered; beyond them signed requests are refused. */
+  /** Maximum number of stored nonces; signed requests beyond it are rejected.
+   */
   static constexpr std::size_t kMaxNonces = 100000;
 
-  /** True, or Refused with a sentence for the operator. */
+  /** Returns true, or fails with Refused and a message for the operator. */
   Result<bool> Check(const SignedRequest& aRequest,
                      std::string_view aAuthorization,
                      const KeyRing& aRing,
                      std::int64_t aUnixSeconds);
 
 private:
-  /** When each nonce may be forgotten. */
+  /** Expiry time of each nonce, in Unix seconds. */
   std::map<std::string, std::int64_t> nonces_;
 };
 
--- a/Source/Connection/ReportDecoder.h
+++ b/Source/Connection/ReportDecoder.h
@@ -9,23 +9,23 @@
 namespace cactusrail {
 
 /**
- * Puts a side's whole report together again from what changed; see
- * ReportEncoder. One for each link. Pure.
+ * Reconstructs a side's full reports from the incremental reports of
+ * ReportEncoder. One instance per link; no I/O and no clock.
  *
- * Whoever takes reports sees whole ones only, so what rests on them (a run that
- * is not listed is not on its worker) does not depend on how they travel.
+ * Consumers of reports see only full reports, so their conclusions (a run that
+ * is not listed is not on its worker) do not depend on the encoding.
  */
 class ReportDecoder
 {
 public:
   FleetReport Take(const FleetReport& aReport);
 
-  /** None if it does not follow the last one, or names a run that is not
-   * known: the link must be made anew. */
+  /** Returns none if the change is out of sequence or refers to an unknown run;
+   * the link must then be reopened. */
   std::optional<FleetReport> Take(const FleetReportChange& aChange);
 
 private:
-  /** Applies the changes to runs_; false if a run is not known. */
+  /** Applies the changes to runs_; returns false for an unknown run. */
   bool Apply(const FleetReportChange& aChange);
 
   bool begun_ = false;
--- a/Source/Connection/ReportEncoder.h
+++ b/Source/Connection/ReportEncoder.h
@@ -11,17 +11,18 @@
 namespace cactusrail {
 
 /**
- * Makes a side's reports on one link small: the first is sent whole, later ones
- * as what changed. The link is ordered and loses nothing while it lasts. Owned
- * by the side's process. Pure.
+ * Reduces the size of a side's reports on one link: the first report is sent in
+ * full, later ones contain only changes. This requires a link that is ordered
+ * and lossless while it is open. Owned by the side's process; no I/O and no
+ * clock.
  */
 class ReportEncoder
 {
 public:
-  /** On a new link the next report is whole. */
+  /** Resets the state for a new link; the next report is sent in full. */
   void Reset();
 
-  /** What to send for this report, which is whole. */
+  /** Returns the message to send for a full report. */
   WireMessage Encode(FleetReport aReport);
 
 private:
@@ -30,7 +31,7 @@
   struct KnownRun
   {
     std::uint16_t number_ = 0;
-    /** The last report listed it. */
+    /** Whether the last report listed the run. */
     bool listed_ = false;
     RunFact fact_;
   };
@@ -38,7 +39,7 @@
   WireMessage EncodeWhole(FleetReport aReport);
   void NoteRun(RunFact aFact, FleetReportChange& aChange);
   void NoteRemoved(FleetReportChange& aChange);
-  /** Numbers are left for all runs of the report that may be new. */
+  /** Whether unused numbers remain for every run that may be new. */
   bool HasNumbersFor(const FleetReport& aReport) const;
 
   bool begun_ = false;
--- a/Source/Connection/RowStore.h
+++ b/Source/Connection/RowStore.h
@@ -12,7 +12,7 @@
 
 namespace cactusrail {
 
-/** Where a row lies. Rows of one part change together; parts do not. */
+/** Address of a row. Transactions are limited to the rows of one part. */
 struct RowId
 {
   std::string table_;
@@ -27,17 +27,17 @@
   }
 };
 
-/** A row as it was read. */
+/** A row as read from the store. */
 struct Row
 {
   RowId id_;
   std::string value_;
-  /** Rises with each change; 0 for a row that does not exist. */
+  /** Increases with each change; 0 for a row that does not exist. */
   std::uint64_t version_ = 0;
   bool removed_ = false;
 };
 
-/** The version that a row must have; 0: it must not exist. */
+/** Required version of a row; 0 requires that the row does not exist. */
 struct RowExpectation
 {
   RowId id_;
@@ -50,7 +50,7 @@
   std::string value_;
 };
 
-/** Changes that take effect together or not at all; all of one part. */
+/** Atomic set of changes, all within one part. */
 struct RowTransaction
 {
   std::vector<RowExpectation> conditions_;
@@ -61,22 +61,24 @@
 enum class CommitOutcome : std::uint8_t
 {
   Done,
-  /** A condition did not hold. */
+  /** A condition was not met. */
   Conflict,
-  /** Surely nothing was changed. */
+  /** The write had no effect. */
   NotDone,
-  /** No answer: it may have been done, or may be done seconds later. */
+  /** Unknown outcome: without a response, the write may have been applied or
+   * may still be applied seconds later. */
   Doubt,
 };
 
 struct Commit
 {
   CommitOutcome outcome_ = CommitOutcome::Doubt;
-  /** The version that the changed rows have now. */
+  /** New version of the changed rows. */
   std::uint64_t version_ = 0;
 };
 
-/** Keys from first_ on, before until_; an empty one is no bound. */
+/** Range of keys from first_ (inclusive) to until_ (exclusive); an empty key is
+ * no bound. */
 struct RowRange
 {
   std::string table_;
@@ -84,31 +86,31 @@
   std::string first_;
   std::string until_;
 
-  /** Of this one row: keys hold printable characters only, so none lies between
-   * a key and the same one with a space after it. */
+  /** Returns the range of a single row: keys contain only printable characters,
+   * so no key sorts between a key and the same key followed by a space. */
   static RowRange Only(const RowId& aId)
   {
     return { aId.table_, aId.part_, aId.key_, aId.key_ + " " };
   }
 };
 
-/** Rows as of one moment, in order of their keys. */
+/** Consistent snapshot of rows, sorted by key. */
 struct RowPage
 {
   std::vector<Row> rows_;
-  /** More follow after the last key. */
+  /** Whether more rows follow the last key. */
   bool more_ = false;
-  /** The store's newest version at that moment. */
+  /** Newest version of the store at the time of the snapshot. */
   std::uint64_t version_ = 0;
 };
 
-/** Rows of one table that changed after a version, in order. */
+/** Rows of one table that changed after a version, in order of change. */
 struct RowChanges
 {
   std::vector<Row> rows_;
-  /** Where to go on from. */
+  /** Version from which to continue. */
   std::uint64_t version_ = 0;
-  /** The changes are known no more; the table must be read anew. */
+  /** The change history is no longer available; the table must be re-read. */
   bool historyGone_ = false;
 };
 
@@ -117,8 +119,8 @@
 using ChangesCallback = std::function<void(Result<RowChanges>)>;
 
 /**
- * A client of the table service in which everything lies that must last. Calls
- * return at once; callbacks come from the event loop, once each.
+ * A client of the table service that stores all durable state. Calls are
+ * asynchronous; the event loop invokes each callback exactly once.
  */
 template<typename Store>
 concept RowStore = requires(Store& aStore,
--- a/Source/Connection/SideLink.h
+++ b/Source/Connection/SideLink.h
@@ -13,9 +13,10 @@
 namespace cactusrail {
 
 /**
- * A connection between two of our own processes, opened or accepted. Lives in
- * one thread. Frames that are sent before the link stands wait for it; it
- * stands once both ends have proved their key, see LinkSession.
+ * A connection, opened or accepted, between two processes of the system. Used
+ * from a single thread. Frames sent before the link is established are queued;
+ * the link is established once both ends have proved possession of a key, see
+ * LinkSession.
  */
 class SideLink : public QObject
 {
@@ -30,18 +31,19 @@
 
   void Send(const WireMessage& aMessage);
 
-  /** Ends the connection once what was sent has left. */
+  /** Closes the connection after all sent frames have been written. */
   void Close();
 
-  /** All that was sent has left this process. */
+  /** Whether all sent frames have been written to the system. */
   bool Flushed() const;
 
-  /** It ended because of what the peer sent. */
+  /** Whether the link was closed because of invalid input from the peer. */
   bool Broken() const { return broken_; }
 
 Q_SIGNALS:
   void Received(const cactusrail::WireMessage& aMessage);
-  /** Once: the end. aNeverConnected: nothing that was sent can have arrived. */
+  /** Emitted once, when the link ends. aNeverConnected: no sent frame can have
+   * arrived. */
   void Lost(bool aNeverConnected, const QString& aReason);
 
 private:
@@ -54,7 +56,7 @@
   QTcpSocket* socket_;
   LinkSession session_;
   std::vector<std::string> waiting_;
-  /** The link stands: connected, and both ends have proved their key. */
+  /** The connection is open and both ends have proved possession of a key. */
   bool connected_ = false;
   bool ended_ = false;
   bool broken_ = false;
--- a/Source/Connection/TableClient.h
+++ b/Source/Connection/TableClient.h
@@ -13,7 +13,7 @@
 namespace cactusrail {
 
 /**
- * Speaks to the platform's table service and object store over HTTP, in the
+ * HTTP client of the platform's table service and object store. Runs in the
  * thread that created it.
  */
 class TableClient
@@ -24,8 +24,8 @@
   ~TableClient();
 
   /**
-   * Applies a transaction whole or not at all. A Failure with MayHaveRun means
-   * that it may have taken effect although no answer came.
+   * Applies a transaction atomically. A Failure with MayHaveRun means that the
+   * transaction may have taken effect although no response arrived.
    */
   void Transact(const TableTransaction& aTransaction,
                 Instant aDeadline,
@@ -36,19 +36,19 @@
             Instant aDeadline,
             std::function<void(Result<std::vector<TableRow>>)> aCallback);
 
-  /** Writes an object whole; true if the store has it. */
+  /** Writes a complete object; the result is true once it is stored. */
   void PutObject(const std::string& aName,
                  std::string aBytes,
                  Instant aDeadline,
                  std::function<void(Result<bool>)> aCallback);
 
-  /** Reads an object; nothing if there is none of that name. */
+  /** Reads an object; the result is empty if no object has that name. */
   void GetObject(
     const std::string& aName,
     Instant aDeadline,
     std::function<void(Result<std::optional<std::string>>)> aCallback);
 
-  /** Calls that have not called back yet. */
+  /** Number of calls whose callback is outstanding. */
   std::size_t InFlight() const;
 
 private:
--- a/Source/Connection/WireMessages.h
+++ b/Source/Connection/WireMessages.h
@@ -12,11 +12,11 @@
 namespace cactusrail {
 
 /**
- * The messages between the system's own processes. Every length and list is
- * checked against the bytes that arrived before memory is taken for it; see
- * BoundedInputArchive. Times on the wire are what is left until a deadline, in
- * microseconds, because two hosts share no clock; the receiver stores a
- * deadline at once.
+ * The messages between the processes of the system. Every length and list is
+ * checked against the received bytes before memory is allocated for it; see
+ * BoundedInputArchive. Deadlines are sent as the remaining time in
+ * microseconds, because two hosts share no clock; the receiver converts the
+ * remaining time to a deadline on arrival.
  */
 
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
@@ -26,9 +26,9 @@
 struct DispatchMessage
 {
   std::string requestId_;
-  /** Unique over all entries and restarts; the side takes each only once. */
+  /** Unique over all entries and restarts; the side accepts each only once. */
   std::string attemptId_;
-  /** The upstream's incarnation that the entry meant; another one refuses. */
+  /** Upstream incarnation that the entry selected; any other one refuses. */
   std::uint64_t upstreamIncarnation_ = 0;
   std::uint64_t remainingMicros_ = 0;
   std::string tenant_;
@@ -54,7 +54,7 @@
   }
 };
 
-/** Entry to side: the caller no longer waits for this attempt. */
+/** Entry to side: the caller has stopped waiting for this attempt. */
 struct CancelMessage
 {
   std::string attemptId_;
@@ -66,20 +66,21 @@
   }
 };
 
-/** Side to entry: the end of one attempt. */
+/** Side to entry: the result of one attempt. */
 struct AnswerMessage
 {
   std::string requestId_;
   std::string attemptId_;
   Verdict verdict_ = Verdict::MayHaveRun;
-  /** The upstream's HTTP status; 0 when there is no answer of its own. */
+  /** HTTP status of the upstream; 0 if the upstream sent no response. */
   std::uint16_t status_ = 0;
   HeaderList headers_;
   std::string body_;
-  /** Why there is no answer; a whole sentence. */
+  /** Reason for a missing response, as a complete sentence. */
   std::string reason_;
   std::uint32_t retryAfterMs_ = 0;
-  /** How long the attempt waited at the side, and ran at the upstream. */
+  /** Time that the attempt was queued at the side and served at the upstream.
+   */
   std::uint64_t queuedMicros_ = 0;
   std::uint64_t servedMicros_ = 0;
 
@@ -99,7 +100,7 @@
   }
 };
 
-/** What a side can do for entries just now. */
+/** Availability of a side to entries. */
 enum class SideState : std::uint8_t
 {
   NoUpstream = 0,
@@ -107,13 +108,14 @@
   Leaving = 2,
 };
 
-/** Side to every entry, by datagram, a few times a second. */
+/** Side to every entry, by datagram, a few times per second. */
 struct HeartbeatMessage
 {
   std::string sideId_;
   /** Changes with every start of the side process. */
   std::uint64_t sideIncarnation_ = 0;
-  /** Rises with every heartbeat of an incarnation; older ones are dropped. */
+  /** Increases with every heartbeat of an incarnation; older ones are dropped.
+   */
   std::uint64_t sequence_ = 0;
   std::string dataCentre_;
   std::string address_;
@@ -147,7 +149,8 @@
   }
 };
 
-/** Entry to side, by datagram: heard; these are the entries that I know. */
+/** Entry to side, by datagram: acknowledges a heartbeat and lists the known
+ * entries. */
 struct HeartbeatAckMessage
 {
   std::string entryId_;
@@ -163,7 +166,7 @@
   }
 };
 
-/** Either side of a connection: send me the configuration that you hold. */
+/** Either end of a connection: requests the peer's configuration. */
 struct ConfigRequestMessage
 {
   std::uint64_t heldVersion_ = 0;
@@ -175,7 +178,8 @@
   }
 };
 
-/** The answer: a whole configuration, as the text that was accepted. */
+/** Response to ConfigRequestMessage: the complete configuration, as the text
+ * that was accepted. */
 struct ConfigMessage
 {
   std::uint64_t version_ = 0;
@@ -188,7 +192,7 @@
   }
 };
 
-/** Entry to side: what do you remember of this request? */
+/** Entry to side: queries the recorded steps of a request. */
 struct RecallMessage
 {
   std::string question_;
@@ -201,7 +205,8 @@
   }
 };
 
-/** The side's memory of a request, as JSON lines of RequestStep. */
+/** Side to entry: the recorded steps of a request, as JSON lines of
+ * RequestStep. */
 struct RecollectionMessage
 {
   std::string question_;
@@ -214,10 +219,10 @@
   }
 };
 
-/** Opener to acceptor, first on a link: prove that you hold a key. */
+/** Opener to acceptor, first message on a link: requests proof of a key. */
 struct LinkHelloMessage
 {
-  /** Fresh random bytes. */
+  /** Newly generated random bytes. */
   std::string nonce_;
 
   template<class Archive>
@@ -227,11 +232,11 @@
   }
 };
 
-/** The proof that a peer holds a shared key; see LinkSession. */
+/** Proof that a peer possesses a shared key; see LinkSession. */
 struct LinkProofMessage
 {
   std::string keyId_;
-  /** The acceptor's fresh random bytes; empty in the opener's proof. */
+  /** Random bytes of the acceptor; empty in the opener's proof. */
   std::string nonce_;
   std::string tag_;
 
@@ -242,7 +247,7 @@
   }
 };
 
-/** All messages. The index is the type's number on the wire: append only. */
+/** All messages. The index is the type number on the wire: append only. */
 using WireMessage = std::variant<DispatchMessage,
                                  CancelMessage,
                                  AnswerMessage,
