--- a/Source/Connection/BoundedInputArchive.h
+++ b/Source/Connection/BoundedInputArchive.h
@@ -35,7 +35,7 @@
     std::uint8_t littleEndian = 0;
     ReadBinary(&littleEndian, sizeof(littleEndian));
     if (littleEndian != 1) {
-      throw cereal::Exception("The message is not in little endian.");
+      throw cereal::Exception("The message is not encoded in little endian.");
     }
   }
 
@@ -104,7 +104,8 @@
   std::uint64_t size = 0;
   aArchive.ReadBinary(&size, sizeof(size));
   if (size > aArchive.BytesLeft()) {
-    throw cereal::Exception("The message states a length beyond its end.");
+    throw cereal::Exception(
+      "The message states a length that exceeds its size.");
   }
   aTag.size = static_cast<std::size_t>(size);
 }
--- a/Source/Connection/Codec.cxx
+++ b/Source/Connection/Codec.cxx
@@ -39,7 +39,8 @@
            aReport.refused_.begin(), aReport.refused_.end(), isUnknownRefusal);
 }
 
-/** An enumerator that this version does not know must not pass as another. */
+/** Detects enumerators that this version does not define, so that they are not
+ * taken for others. */
 bool
 HasUnknownEnumerator(const WireMessage& aMessage)
 {
@@ -117,8 +118,8 @@
   const auto version =
     qFromLittleEndian<std::uint16_t>(aBytes.data() + kVersionOffset);
   if (version != kProtocolVersion) {
-    return BadFrame("The peer speaks version " + std::to_string(version) +
-                    " of the protocol; this process speaks " +
+    return BadFrame("The peer uses version " + std::to_string(version) +
+                    " of the protocol; this process uses version " +
                     std::to_string(kProtocolVersion) + ".");
   }
   if (length < kFrameHeaderBytes || length > kMaxFrameBytes) {
@@ -136,7 +137,7 @@
   if (const auto* failure = std::get_if<Failure>(&length)) {
     return *failure;
   }
-  // An empty datagram has no header either: its length reads as 0.
+  // For an empty datagram without a header FrameLength() also returns 0.
   if (aFrame.size() < kFrameHeaderBytes ||
       std::get<std::size_t>(length) != aFrame.size()) {
     return BadFrame("The frame is truncated.");
@@ -151,15 +152,15 @@
     BoundedInputArchive archive(aFrame.subspan(kFrameHeaderBytes));
     WireMessage message = kDecoders.at(type)(archive);
     if (archive.BytesLeft() != 0) {
-      return BadFrame("The frame goes on after its last field.");
+      return BadFrame("The frame contains data after its last field.");
     }
     if (HasUnknownEnumerator(message)) {
-      return BadFrame("The frame holds a verdict or state that this version "
-                      "does not know.");
+      return BadFrame("The frame contains a verdict, state or kind that this "
+                      "version does not define.");
     }
     return message;
   } catch (const std::exception& error) {
-    return BadFrame(std::string("The frame can't be read: ") + error.what());
+    return BadFrame(std::string("The frame can't be decoded: ") + error.what());
   }
 }
 
--- a/Source/Connection/DatagramSeal.cxx
+++ b/Source/Connection/DatagramSeal.cxx
@@ -10,7 +10,8 @@
 
 namespace {
 
-/** Keeps a datagram's tag from passing for any other kind of tag. */
+/** Prefix of the tagged text, so that a datagram's tag is invalid in any other
+ * context. */
 constexpr std::string_view kPurpose = "cactusrail datagram 1:";
 
 std::string
@@ -38,7 +39,9 @@
     return DecodeFrame(aBytes);
   }
   if (aBytes.size() < kTagBytes) {
-    return NotRun(FailureKind::Refused, "The datagram has no tag.");
+    return NotRun(
+      FailureKind::Refused,
+      "The datagram has no tag. Configure the same keys on both hosts.");
   }
   const std::span<const char> frame = aBytes.first(aBytes.size() - kTagBytes);
   const std::span<const char> tag = aBytes.last(kTagBytes);
@@ -50,7 +53,8 @@
       return SameTag(TagOf(frameText, aKey), tagText);
     });
   if (!known) {
-    return NotRun(FailureKind::Refused, "The datagram's tag is wrong.");
+    return NotRun(FailureKind::Refused,
+                  "The datagram's tag matches no key of this process.");
   }
   return DecodeFrame(frame);
 }
--- a/Source/Connection/GuardedSocket.cxx
+++ b/Source/Connection/GuardedSocket.cxx
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr qint64 kKernelReadAhead = 65536;
-/** How long a refused caller may go on sending. */
+/** Time during which data from a rejected caller is still read. */
 constexpr Millis kRefusalLinger{ 1000 };
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 
@@ -64,9 +64,10 @@
   HttpRequestBounds bounds_;
   bool headRead_ = false;
   bool busy_ = false;
-  /** The caller wants the connection closed after this answer. */
+  /** The caller requested that the connection close after this response. */
   bool closing_ = false;
-  /** A planned stop wants it closed once all that arrived is answered. */
+  /** Graceful shutdown: the connection closes once all received requests have
+   * been answered. */
   bool stopping_ = false;
   bool refused_ = false;
   bool callerGone_ = false;
@@ -81,8 +82,8 @@
     return;
   }
   if (busy_) {
-    // The bytes of a pipelined request stay where they are; the socket's read
-    // buffer is bounded, so the kernel slows the caller down.
+    // The bytes of a pipelined request stay in the socket. Its read buffer is
+    // bounded, so TCP flow control slows the caller down.
     return;
   }
   if (incoming_.empty() && inner_.bytesAvailable() > 0) {
@@ -106,7 +107,8 @@
     if (headBytes > limits_.maxHeadBytes_) {
       ++counts_->headTooLarge_;
       Refuse("431 Request Header Fields Too Large",
-             "The request's head is over the limit.");
+             "The request head is over the size limit; send fewer or shorter "
+             "headers.");
       return;
     }
     if (end == std::string::npos) {
@@ -122,7 +124,8 @@
     bounds_ = std::get<HttpRequestBounds>(bounds);
     if (bounds_.bodyBytes_ > limits_.maxBodyBytes_) {
       ++counts_->bodyTooLarge_;
-      Refuse("413 Payload Too Large", "The request's body is over the limit.");
+      Refuse("413 Payload Too Large",
+             "The request body is over the size limit; send a smaller body.");
       return;
     }
     headRead_ = true;
@@ -142,10 +145,10 @@
 }
 
 /**
- * Closing while the caller still sends resets the connection, and the reset
- * discards the refusal before the caller reads it. So only the sending side is
- * closed, and what arrives is read and dropped until the caller closes or the
- * linger time is over.
+ * Rejects the request and closes the connection. Closing while the caller still
+ * sends resets the connection, and the reset discards the response before the
+ * caller reads it. Therefore only the sending direction is shut down, and
+ * received data is discarded until the caller closes or kRefusalLinger ends.
  */
 void
 GuardedSocket::Private::Refuse(const char* aStatusLine,
@@ -173,8 +176,9 @@
 }
 
 /**
- * Looks into the kernel's buffer too: closing a connection with unread bytes
- * resets it, and the reset may overtake the answer that was just written.
+ * Returns whether unprocessed data has been received. Includes the kernel's
+ * buffer: closing a connection with unread bytes resets it, and the reset may
+ * overtake the response that was just written.
  */
 bool
 GuardedSocket::Private::MoreHasArrived() const
@@ -211,7 +215,8 @@
     return;
   }
   ++counts_->tooSlow_;
-  Refuse("408 Request Timeout", "The request did not arrive in time.");
+  Refuse("408 Request Timeout",
+         "The request did not arrive completely within the time limit.");
 }
 
 GuardedSocket::GuardedSocket(qintptr aDescriptor,
@@ -254,7 +259,7 @@
   }
   private_->busy_ = false;
   if (private_->callerGone_) {
-    // Queued: the library still holds this socket on its stack.
+    // Queued, because the library still uses this socket on its stack.
     QMetaObject::invokeMethod(
       this, [this] { private_->EndConnection(); }, Qt::QueuedConnection);
     return;
--- a/Source/Connection/HttpCaller.cxx
+++ b/Source/Connection/HttpCaller.cxx
@@ -17,7 +17,7 @@
 
 namespace {
 
-/** A request body that can be read once and never again; see HttpCaller. */
+/** A request body that can be read only once; see HttpCaller. */
 class OneShotBody : public QIODevice
 {
 public:
@@ -28,7 +28,7 @@
     open(QIODevice::ReadOnly | QIODevice::Unbuffered);
   }
 
-  // NOLINTBEGIN(readability-identifier-naming): Qt names them so.
+  // NOLINTBEGIN(readability-identifier-naming): names defined by Qt.
   bool isSequential() const override { return true; }
   bool reset() override { return false; }
   bool atEnd() const override { return read_ == bytes_.size(); }
@@ -57,7 +57,7 @@
   std::size_t read_ = 0;
 };
 
-/** Errors after which no byte of the request can have reached a server. */
+/** Whether the error implies that no byte of the request reached a server. */
 bool
 NeverConnected(QNetworkReply::NetworkError aError)
 {
@@ -76,7 +76,8 @@
   request.setAttribute(QNetworkRequest::RedirectPolicyAttribute,
                        QNetworkRequest::ManualRedirectPolicy);
   request.setAttribute(QNetworkRequest::Http2AllowedAttribute, false);
-  // As sent, so that lengths can be compared with the header.
+  // Prevents compression, so that the length of the body can be compared with
+  // Content-Length.
   request.setRawHeader("Accept-Encoding", "identity");
   return request;
 }
@@ -149,7 +150,8 @@
   if (aRunning.timedOut_) {
     return Failure{ FailureKind::TimedOut,
                     Verdict::MayHaveRun,
-                    "The answer of " + aRunning.url_ + " came too late.",
+                    "The answer of " + aRunning.url_ +
+                      " did not arrive before the deadline.",
                     Millis(0) };
   }
   if (!status.isValid() || (error > QNetworkReply::NoError &&
@@ -187,12 +189,13 @@
 }
 
 /**
- * Forgets connections after a call without an answer.
+ * Discards connections after a call that timed out.
  *
- * A cut or a frozen peer leaves connections silent without an end, and one that
- * was being made waits for TCP's next try. The library keeps such a connection
- * when its call is aborted and hands it to the next call. The other idle ones
- * lead to the same server and are doubtful as well.
+ * After a network partition, or with a peer that hangs, an established
+ * connection stays unresponsive indefinitely, and one that is being established
+ * waits for TCP's next retransmission. The library keeps such a connection when
+ * its call is aborted and reuses it for the next call. The other idle
+ * connections lead to the same server and may be unusable as well.
  */
 void
 HttpCaller::Private::DropConnections(QNetworkAccessManager* aManager)
--- a/Source/Connection/HttpFraming.cxx
+++ b/Source/Connection/HttpFraming.cxx
@@ -52,8 +52,9 @@
 }
 
 /**
- * A bare carriage return or line feed ends a line for some programs and not for
- * others, so that they cut the same bytes at different places.
+ * Detects control characters. Some HTTP implementations treat a bare carriage
+ * return or line feed as the end of a line and others do not, which allows
+ * request smuggling.
  */
 bool
 HasControl(std::string_view aLine)
@@ -64,7 +65,7 @@
   });
 }
 
-/** "Name: value", with nothing between the name and the colon. */
+/** Whether a line is "Name: value" without whitespace before the colon. */
 bool
 IsHeaderLine(std::string_view aLine)
 {
@@ -75,7 +76,7 @@
   return aLine.substr(0, colon).find_first_of(" \t") == std::string_view::npos;
 }
 
-/** "METHOD target HTTP/1.x", with one space between each. */
+/** Whether a line is "METHOD target HTTP/1.x", separated by single spaces. */
 bool
 IsRequestLine(std::string_view aLine)
 {
@@ -104,7 +105,7 @@
   const std::size_t requestLineEnd = aHead.find(kLineEnd);
   if (requestLineEnd == std::string_view::npos ||
       !IsRequestLine(aHead.substr(0, requestLineEnd))) {
-    return Malformed("The request line is not 'METHOD TARGET HTTP/1.1'.");
+    return Malformed("The request line must be 'METHOD TARGET HTTP/1.1'.");
   }
   bounds.lastOnConnection_ =
     aHead.substr(0, requestLineEnd).ends_with("HTTP/1.0");
@@ -118,14 +119,15 @@
     const std::string_view line = aHead.substr(start, end - start);
     start = end + kLineEnd.size();
     if (!IsHeaderLine(line)) {
-      return Malformed("A header line is not 'Name: value'.");
+      return Malformed("Each header line must be 'Name: value'.");
     }
     const std::size_t colon = line.find(':');
     const std::string name = LowerCase(line.substr(0, colon));
     const std::string_view value = Trim(line.substr(colon + 1));
     if (name == "transfer-encoding") {
-      return Malformed("Transfer-Encoding is not taken; send the body with a "
-                       "Content-Length.");
+      return Malformed(
+        "Transfer-Encoding is not supported; send the body with a "
+        "Content-Length.");
     }
     if (name == "connection" &&
         LowerCase(value).find("close") != std::string::npos) {
@@ -136,8 +138,9 @@
     }
     const std::optional<std::size_t> length = ParseLength(value);
     if (lengthSeen || !length.has_value()) {
-      return Malformed("The request needs one Content-Length that is a whole "
-                       "number.");
+      return Malformed(
+        "The request must have a single Content-Length that is a "
+        "non-negative integer.");
     }
     lengthSeen = true;
     bounds.bodyBytes_ = *length;
--- a/Source/Connection/HttpFront.cxx
+++ b/Source/Connection/HttpFront.cxx
@@ -24,7 +24,8 @@
 namespace {
 
 constexpr int kBacklog = 512;
-/** Handshakes that had begun end within this long; callers are 3 ms away. */
+/** Time within which handshakes in flight complete; the round trip to callers
+ * is 3 ms. */
 constexpr Millis kHandshakeGrace{ 250 };
 constexpr Millis kAcceptCheck{ 10 };
 
@@ -63,7 +64,7 @@
                     });
 }
 
-/** Takes accepted descriptors as guarded sockets. */
+/** Wraps accepted descriptors in guarded sockets. */
 class GuardedServer : public QTcpServer
 {
 public:
@@ -84,7 +85,7 @@
   }
 
 protected:
-  // NOLINTNEXTLINE(readability-identifier-naming): Qt names it so.
+  // NOLINTNEXTLINE(readability-identifier-naming): name defined by Qt.
   void incomingConnection(qintptr aDescriptor) override
   {
     auto* socket = new GuardedSocket(aDescriptor, limits_, counts_, this);
@@ -106,8 +107,8 @@
 };
 
 /**
- * A listening descriptor whose port other threads of this process may share
- * (SO_REUSEPORT), or -1.
+ * Returns a listening descriptor whose port other threads of this process may
+ * share (SO_REUSEPORT), or -1 on failure.
  */
 int
 ListenShared(const QHostAddress& aAddress, std::uint16_t aPort)
@@ -135,11 +136,11 @@
 /**
  * Drops further connection requests (SYN) at a listening socket.
  *
- * Closing a listening socket resets the connections that wait in its accept
- * queue, and callers that had already sent a request on one see it cut off.
- * With SYNs dropped no new one can enter the queue, so it is empty for good
- * once the handshakes under way have ended. A caller whose SYN was dropped has
- * sent nothing; its next try is refused or goes elsewhere.
+ * Closing a listening socket resets the connections in its accept queue, and
+ * callers that have already sent a request on one of them lose it. With SYNs
+ * dropped no new connection enters the queue, so the queue stays empty once the
+ * handshakes in flight have completed. A caller whose SYN was dropped has sent
+ * no request; its next attempt is refused or reaches another process.
  */
 void
 RefuseHandshakes(int aDescriptor)
@@ -156,8 +157,9 @@
     BPF_STMT(BPF_RET | BPF_K, kKeepAll),
   } };
   const sock_fprog filter{ program.size(), program.data() };
-  // Without the filter the accept queue is still drained before the close; a
-  // connection made in the last instant can then be lost.
+  // If the filter can't be attached, the accept queue is still drained before
+  // the socket is closed, but a connection established between the two steps
+  // may be lost.
   ::setsockopt(
     aDescriptor, SOL_SOCKET, SO_ATTACH_FILTER, &filter, sizeof(filter));
 }
@@ -185,7 +187,7 @@
     HttpAnswer answer;
     answer.status_ = 500;
     answer.body_ = "{\"verdict\":\"may have run\",\"message\":\"The request "
-                   "was dropped inside this process.\"}\n";
+                   "was dropped by this process without a response.\"}\n";
     Write(answer);
   }
 
@@ -228,7 +230,8 @@
     responder_.writeHeader(QByteArray::fromStdString(name),
                            QByteArray::fromStdString(value));
   }
-  // The body ends the head; a HEAD request gets the head alone.
+  // Writing the body also ends the header section, so that a HEAD request
+  // writes an empty body.
   const bool headOnly = method_ == "HEAD";
   responder_.writeBody(aAnswer.body_.data(),
                        headOnly ? 0
@@ -325,7 +328,7 @@
   Handler handler_;
 
 protected:
-  // NOLINTBEGIN(readability-identifier-naming): Qt names them so.
+  // NOLINTBEGIN(readability-identifier-naming): names defined by Qt.
   bool handleRequest(const QHttpServerRequest& aRequest,
                      QTcpSocket* aSocket) override;
   void missingHandler(const QHttpServerRequest& aRequest,
@@ -393,14 +396,17 @@
   const QHostAddress address(QString::fromStdString(std::string(aAddress)));
   if (address.protocol() != QAbstractSocket::IPv4Protocol) {
     return NotRun(FailureKind::BadInput,
-                  "Can't listen on " + place + ": it is not an IPv4 number.");
+                  "Can't listen on " + place +
+                    ": the address is not a numeric IPv4 address.");
   }
   auto self = std::make_unique<Private>(aLimits, std::move(aHandler));
   const int descriptor = ListenShared(address, aPort);
   if (descriptor < 0 || !self->server_.setSocketDescriptor(descriptor)) {
-    return NotRun(FailureKind::Unreachable,
-                  "Can't listen on " + place +
-                    ": the address is not of this host or the port is taken.");
+    return NotRun(
+      FailureKind::Unreachable,
+      "Can't listen on " + place +
+        ": the address does not belong to this host or the port is in "
+        "use.");
   }
   self->bind(&self->server_);
   return std::unique_ptr<HttpFront>(new HttpFront(std::move(self)));
--- a/Source/Connection/KeyRing.cxx
+++ b/Source/Connection/KeyRing.cxx
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxHexDigits = 256;
 constexpr std::size_t kMaxIdLength = 16;
 
-/** Says what is wrong without showing any of the key. */
+/** Reports an invalid key without revealing any part of it. */
 Failure
 BadKey(std::size_t aNumber, std::string_view aExpected)
 {
--- a/Source/Connection/LinkSession.cxx
+++ b/Source/Connection/LinkSession.cxx
@@ -9,7 +9,7 @@
 constexpr std::string_view kSessionPurpose = "cactusrail link 1:";
 constexpr std::string_view kOpenerProof = "opener holds the key";
 constexpr std::string_view kAcceptorProof = "acceptor holds the key";
-/** A stranger can't make us hold more than this. */
+/** Maximum size in bytes of a frame from an unauthenticated peer. */
 constexpr std::size_t kMaxHandshakeFrame = 1024;
 
 Failure
@@ -72,7 +72,7 @@
     }
     if (tagged &&
         !SameTag(inward_->NextTag(TextOf(raw->frame_)), TextOf(raw->tag_))) {
-      return Refuse("A frame's tag is wrong.");
+      return Refuse("The tag of a received frame is invalid.");
     }
     Result<WireMessage> message = DecodeFrame(raw->frame_);
     if (const auto* failure = std::get_if<Failure>(&message)) {
@@ -99,7 +99,7 @@
   if (const auto* proof = std::get_if<LinkProofMessage>(&aMessage)) {
     return TakeProof(*proof, aInput);
   }
-  return Refuse("The peer sent a message before it proved its key.");
+  return Refuse("The peer sent a message before the handshake was complete.");
 }
 
 std::optional<Failure>
@@ -107,7 +107,7 @@
 {
   if (IsOpener() || !peerNonce_.empty() ||
       aHello.nonce_.size() != kNonceBytes) {
-    return Refuse("The peer's handshake is out of order.");
+    return Refuse("The peer's handshake message is invalid or out of order.");
   }
   peerNonce_ = aHello.nonce_;
   const SharedKey& key = ring_->Signer();
@@ -126,19 +126,21 @@
   if (!IsOpener()) {
     if (sessionKey_.empty() ||
         !SameTag(MakeTag(sessionKey_, kOpenerProof), aProof.tag_)) {
-      return Refuse("The peer does not hold the key that was asked for.");
+      return Refuse(
+        "The peer's proof does not match the key that was asked for.");
     }
     Establish(sessionKey_);
     return std::nullopt;
   }
   const SharedKey* key = ring_->Find(aProof.keyId_);
   if (key == nullptr || aProof.nonce_.size() != kNonceBytes) {
-    return Refuse("The peer's key is not one of ours.");
+    return Refuse(
+      "The peer uses a key that is not configured in this process.");
   }
   peerNonce_ = aProof.nonce_;
   const std::string sessionKey = SessionKey(*key);
   if (!SameTag(MakeTag(sessionKey, kAcceptorProof), aProof.tag_)) {
-    return Refuse("The peer does not hold the key that it names.");
+    return Refuse("The peer's proof does not match the key with the same id.");
   }
   LinkProofMessage proof;
   proof.keyId_ = key->id_;
--- a/Source/Connection/OperatorSignature.cxx
+++ b/Source/Connection/OperatorSignature.cxx
@@ -42,7 +42,7 @@
     .toStdString();
 }
 
-/** The tag in hex; aMoment is "seconds-nonce". */
+/** Returns the tag in hex; aMoment is "seconds-nonce". */
 std::string
 TagOf(const SignedRequest& aRequest,
       const SharedKey& aKey,
@@ -139,34 +139,35 @@
 {
   const std::optional<Authorization> read = ReadAuthorization(aAuthorization);
   if (!read.has_value()) {
-    return Refuse("This address needs a request that is signed with an "
-                  "operators' key; give --key-file.");
+    return Refuse("This address requires a request that is signed with an "
+                  "operators' key; use --key-file.");
   }
   const SharedKey* key = aRing.Find(read->keyId_);
   if (key == nullptr ||
       !SameTag(TagOf(aRequest, *key, read->moment_), read->tag_)) {
-    return Refuse("The request's signature is wrong, or its key is not in "
-                  "force here.");
+    return Refuse("The request's signature is invalid, or its key is not "
+                  "configured in this process.");
   }
   if (read->seconds_ < aUnixSeconds - kMaxSkewSeconds ||
       read->seconds_ > aUnixSeconds + kMaxSkewSeconds) {
     return Refuse("The request was signed more than a minute ago, or the "
-                  "clocks of the two hosts differ; set them.");
+                  "clocks of the two hosts differ; synchronize the clocks.");
   }
   std::erase_if(nonces_, [aUnixSeconds](const auto& aNonce) {
     return aNonce.second < aUnixSeconds;
   });
   if (nonces_.size() >= kMaxNonces) {
-    return Refuse("Too many signed requests in the last minutes; try later.");
+    return Refuse("Too many signed requests in the last minutes; retry later.");
   }
-  // A recorded request that is sent again is refused: its nonce is kept for as
-  // long as its time is accepted.
+  // Rejects replayed requests: a nonce is stored for as long as the request's
+  // timestamp is accepted.
   const bool fresh =
     nonces_
       .emplace(std::string(read->moment_), read->seconds_ + kMaxSkewSeconds)
       .second;
   if (!fresh) {
-    return Refuse("The signed request was sent before.");
+    return Refuse(
+      "The signed request has already been received; sign it again.");
   }
   return true;
 }
--- a/Source/Connection/SideLink.cxx
+++ b/Source/Connection/SideLink.cxx
@@ -45,11 +45,11 @@
 void
 SideLink::Connect()
 {
-  // Also for accepted links: a stranger who connects and proves nothing must
-  // not hold a connection for ever.
+  // Also applies to accepted links, so that an unauthenticated peer can't keep
+  // a connection open indefinitely.
   QTimer::singleShot(kConnectTimeout, this, [this] {
     if (!connected_) {
-      OnEnd(QStringLiteral("The link was not made in time."));
+      OnEnd(QStringLiteral("The link was not established before the timeout."));
     }
   });
   connect(socket_, &QTcpSocket::connected, this, [this] {
--- a/Source/Connection/TableClient.cxx
+++ b/Source/Connection/TableClient.cxx
@@ -16,7 +16,7 @@
 constexpr int kNotFound = 404;
 constexpr int kConflict = 409;
 
-/** Counts a call that has ended, and hands its result on. */
+/** Counts a completed call and returns its result. */
 template<typename Value>
 Result<Value>
 Counted(Result<Value> aResult)
@@ -39,7 +39,7 @@
 {
   return Failure{ FailureKind::Unreachable,
                   Verdict::MayHaveRun,
-                  "The table service answered with status " +
+                  "The table service answered with the unexpected status " +
                     std::to_string(aReply.status_) + ".",
                   Millis(0) };
 }
@@ -56,7 +56,7 @@
   }
   Result<TableOutcome> outcome = FromJson<TableOutcome>(reply.body_);
   if (auto* failure = std::get_if<Failure>(&outcome)) {
-    // The answer is unreadable, but the write may have taken effect.
+    // The response can't be decoded, but the write may have taken effect.
     failure->verdict_ = Verdict::MayHaveRun;
   }
   return outcome;
