--- a/Tests/Fleet/ReportChangeTest.cxx
+++ b/Tests/Fleet/ReportChangeTest.cxx
@@ -31,7 +31,7 @@
   return fact;
 }
 
-/** What a side with so many runs reports. */
+/** Returns the report of a side with aRuns runs. */
 FleetReport
 MakeReport(int aRuns)
 {
@@ -52,7 +52,7 @@
   return aDecoder.Take(std::get<FleetReportChange>(aMessage));
 }
 
-/** Reports as their bytes, whatever the order of their runs. */
+/** Returns the bytes of a report, independent of the order of its runs. */
 std::string
 Content(FleetReport aReport)
 {
@@ -65,7 +65,7 @@
   return EncodeFrame(aReport);
 }
 
-/** Changes a report as a side's next one might. */
+/** Applies random changes such as between two reports of a side. */
 void
 Change(FleetReport& aReport, std::mt19937& aRandom, int& aNext)
 {
@@ -124,8 +124,8 @@
   cr_assert(std::holds_alternative<FleetReport>(encoder.Encode(report)));
 }
 
-// Guards against a run that is taken for gone, or for there, because a change
-// was lost, came twice or overtook another.
+// Guards against a run that is wrongly considered ended or present because a
+// change was lost, duplicated or reordered.
 Test(ReportChange, LostRepeatedOrReorderedChangesAreRefused)
 {
   ReportEncoder encoder;
@@ -141,7 +141,7 @@
   ReportDecoder lost;
   Take(lost, whole);
   cr_assert_not(Take(lost, second).has_value());
-  // Nor is anything taken after that until a whole report.
+  // Further changes are also rejected until a full report arrives.
   cr_assert_not(Take(lost, first).has_value());
   cr_assert(Take(lost, whole).has_value());
   ReportDecoder repeated;
@@ -177,7 +177,8 @@
   cr_assert(refuses(workers));
 }
 
-// A link that lasts for days gives out all numbers.
+// Guards against reused run numbers on a link that stays open for days and
+// exhausts all numbers.
 Test(ReportChange, NumbersThatRunOutBeginAnewWithAWholeReport)
 {
   ReportEncoder encoder;
@@ -195,8 +196,9 @@
   cr_assert_eq(wholes, 2);
 }
 
-// Pattern: a side with a dozen runs reports four figures a second; whole
-// reports of 240 sides filled the leader's link.
+// Guards against reports that saturate the leader's link, as the full reports
+// of 240 sides did. Scenario: a side with a dozen runs sends its figures four
+// times a second.
 Test(ReportChange, FiguresOfADozenRunsAreSmall)
 {
   ReportEncoder encoder;
@@ -215,14 +217,14 @@
 
 struct Relinking
 {
-  /** The way of a report and of orders. */
+  /** Network delays of reports and of orders. */
   int reportMs_;
   int ordersMs_;
-  /** A second link follows the first one after so long; none if negative. */
+  /** Delay until the link is lost a second time; none if negative. */
   int secondMs_;
 };
 
-/** Quick tasks on two hosts; the link of one is lost at a moment. */
+/** Runs short tasks on two hosts and loses the link of one after aMomentMs. */
 void
 RunWithLostLink(const Relinking& aRelinking, int aMomentMs)
 {
@@ -236,7 +238,7 @@
   world.Host(0).worker_.taskTime_ = Millis(150);
   world.Host(1).worker_.taskTime_ = Millis(250);
   world.Run(Millis(2000));
-  // Orders and reports are under way at each moment.
+  // Orders and reports are in flight at all times.
   std::vector<int> relinksAt{ aMomentMs };
   if (aRelinking.secondMs_ >= 0) {
     relinksAt.push_back(aMomentMs + aRelinking.secondMs_);
@@ -267,8 +269,8 @@
 
 }
 
-// Guards against a task that starts twice because a link was lost between an
-// order, its start and the report of it, at any message.
+// Guards against a task that starts twice because a link was lost between its
+// start order, its start and the report of the start.
 ParameterizedTestParameters(ReportChange, LinkLostAtAnyMomentStartsNothingTwice)
 {
   static std::array<Relinking, 8> relinkings{ { { 0, 0, -1 },
--- a/Tests/Fuzz/FuzzDriver.cxx
+++ b/Tests/Fuzz/FuzzDriver.cxx
@@ -1,6 +1,7 @@
-// Runs a fuzz target on seeded mutations of its valid inputs, the same ones on
-// every run: `fuzz-driver TARGET ROUNDS SEED`. A crash, a sanitizer's report or
-// a broken invariant ends it; the last input is then in fuzz-last-input.
+// Runs a fuzz target on reproducible, seeded mutations of its valid inputs:
+// `fuzz-driver TARGET ROUNDS SEED`. A crash, a sanitizer report or a violated
+// invariant terminates the program. The file fuzz-last-input holds the target
+// and the last multiple of 1000 rounds that was reached.
 
 #include "FuzzTargets.h"
 
@@ -44,7 +45,7 @@
         aInput.insert(at, aInput.substr(below(aInput.size()), below(64)));
         break;
       default:
-        // Lengths far beyond the input are what decoders trip over.
+        // Simulates lengths far beyond the size of the input.
         aInput.replace(at, 8, std::string(8, static_cast<char>(0xff)));
         break;
     }
--- a/Tests/Fuzz/FuzzTargets.cxx
+++ b/Tests/Fuzz/FuzzTargets.cxx
@@ -17,7 +17,7 @@
 
 namespace {
 
-/** Ends the program at a broken invariant, so that any driver notices. */
+/** Aborts if an invariant is violated, so that any fuzz driver detects it. */
 void
 Require(bool aHolds)
 {
@@ -34,7 +34,7 @@
   if (message == nullptr) {
     return;
   }
-  // What was taken must be the same message when it is sent on.
+  // Re-encoding a decoded message must reproduce the input.
   const std::string again = EncodeFrame(*message);
   Require(Succeeded(DecodeFrame(again)));
   Require(again == aInput);
@@ -82,7 +82,7 @@
   const bool firstFailed = !Succeeded(first);
   const bool failed =
     firstFailed || !Succeeded(halves.Take(aInput.substr(half)));
-  // However the bytes are cut, the stream is good or bad.
+  // The validity of a stream must not depend on how it is split.
   Require(failed == !Succeeded(atOnce));
 }
 
--- a/Tests/Fuzz/FuzzTargets.h
+++ b/Tests/Fuzz/FuzzTargets.h
@@ -9,18 +9,18 @@
 namespace cactusrail::fuzz {
 
 /**
- * One decoder that meets bytes from outside. It must end in a value or a
- * Failure for any input, within memory bounded by the input's size.
+ * A decoder of untrusted bytes. For any input it must return a value or a
+ * Failure, with memory use bounded by the size of the input.
  */
 struct FuzzTarget
 {
   std::string_view name_;
   void (*run_)(std::string_view aInput);
-  /** Valid inputs, from which mutations start. */
+  /** Returns valid inputs as seeds for mutations. */
   std::vector<std::string> (*seeds_)();
 };
 
-/** All targets, in a stable order. */
+/** Returns all targets, in a stable order. */
 std::span<const FuzzTarget>
 Targets();
 
--- a/Tests/Fuzz/LibFuzzer.cxx
+++ b/Tests/Fuzz/LibFuzzer.cxx
@@ -7,7 +7,7 @@
 #include <cstdlib>
 #include <string_view>
 
-// NOLINTNEXTLINE(readability-identifier-naming): libFuzzer names it so.
+// NOLINTNEXTLINE(readability-identifier-naming): name required by libFuzzer.
 extern "C" int
 LLVMFuzzerTestOneInput(const std::uint8_t* aData, std::size_t aSize)
 {
--- a/Tests/Unit/CodecTest.cxx
+++ b/Tests/Unit/CodecTest.cxx
@@ -32,9 +32,8 @@
   cr_assert(dispatch.body_ == "lot 7");
 }
 
-// A peer (or a broken switch) flips one bit of a frame, or the frame arrives
-// short. Whatever the bit, decoding must end in a message or a Failure, take no
-// memory beyond the frame's size, and never crash.
+// Guards against crashes and allocations beyond the frame's size when a peer or
+// a faulty switch flips one bit of a frame, or when a frame is truncated.
 Test(Codec, SurvivesEveryFlippedBitAndEveryTruncation)
 {
   const std::string frame = SampleFrame();
@@ -48,17 +47,16 @@
   }
 }
 
-// Anyone sends an entry a datagram without any bytes. Its stated length, 0, is
-// equal to its size, so it passed as whole, and reading beyond it took an
-// absurd length from other memory: the entry died. Found by the fuzz target
-// "frame".
+// Guards against an entry that crashes on an empty datagram: its length reads
+// as 0, which equals its size, so it was accepted as complete and the decoder
+// read a huge length beyond its end. Found by the fuzz target "frame".
 Test(Codec, RefusesAnEmptyDatagram)
 {
   cr_assert(!Succeeded(DecodeFrame(std::string_view())));
 }
 
-// Nine hostile bytes state a string of 2^60 bytes. The library would try to
-// take that memory before looking for the bytes.
+// Guards against a message of nine bytes that states a string of 2^60 bytes:
+// the library would allocate that memory before checking for the bytes.
 Test(Codec, RefusesALengthBeyondTheFrame)
 {
   std::string frame = EncodeFrame(CancelMessage{ "abc" });
--- a/Tests/Unit/HttpCallerTest.cxx
+++ b/Tests/Unit/HttpCallerTest.cxx
@@ -20,8 +20,8 @@
 namespace {
 
 /**
- * A listening socket whose queue of new connections is full, so that the kernel
- * drops the first packet of each further one: a cut, as a caller sees it.
+ * A listening socket whose accept queue is full, so that the kernel drops the
+ * SYN of each further connection. Simulates a network partition to a caller.
  */
 class FullListener
 {
@@ -41,7 +41,7 @@
     Fill();
   }
 
-  /** The cut is over: what waits is accepted, and what comes from then on. */
+  /** Ends the partition: accepts waiting and new connections. */
   void Heal(QTcpServer& aServer)
   {
     fillers_.clear();
@@ -52,7 +52,7 @@
   std::uint16_t Port() const { return port_; }
 
 private:
-  /** Connects until a connection is not made any more. */
+  /** Opens connections until one is not established. */
   void Fill()
   {
     constexpr int kMost = 16;
@@ -84,10 +84,10 @@
 
 }
 
-// The table is cut off while an entry connects to it. The call is given up, the
-// cut heals, the entry asks again; the library handed it the connection that
-// was still being made, which TCP tries again only seconds later: the entry was
-// without its table for 4 s more. A connection of its own is made at once.
+// Guards against a call that reuses a connection attempt of an aborted call.
+// When a network partition interrupted the attempt, TCP retransmits the SYN
+// only seconds later, so an entry had no table service for 4 s after the
+// partition.
 Test(HttpCaller, CallAfterACutMakesItsOwnConnection)
 {
   int argc = 1;
@@ -117,8 +117,8 @@
   caller.Start(
     CallTo(listener.Port(), "/second", ReadMonotonicClock() + Millis(20000)),
     [](const Result<HttpReply>&) {});
-  // Others connect and are heard, one after another: a hundred of them take
-  // some milliseconds, and TCP tries an old connection again after a second.
+  // Bounds the time by other connections, one after another: a hundred of them
+  // take some milliseconds, and TCP retransmits an old SYN after a second.
   constexpr int kOthers = 100;
   const auto isCall = [](const std::string& aBytes) {
     return aBytes.starts_with("GET /second");
@@ -136,5 +136,6 @@
     cr_assert(
       WaitInLoop([&arrived, before] { return arrived.size() > before; }));
   }
-  cr_assert(called(), "%d others were heard before it", kOthers);
+  cr_assert(
+    called(), "%d other connections were served before the call", kOthers);
 }
--- a/Tests/Unit/HttpFramingTest.cxx
+++ b/Tests/Unit/HttpFramingTest.cxx
@@ -28,8 +28,9 @@
   cr_assert(std::get<HttpRequestBounds>(close).lastOnConnection_);
 }
 
-// A message that a balancer and this process would cut at different places lets
-// one caller's bytes pass for another's request.
+// Guards against request smuggling: if a load balancer and this process
+// determine different ends of a request, one caller's bytes are taken for
+// another caller's request.
 Test(HttpFraming, RefusesWhatCouldBeCutInTwoWays)
 {
   for (const char* headers : { "Content-Length: 1\r\nContent-Length: 2\r\n",
--- a/Tests/Unit/HttpGuardTest.cxx
+++ b/Tests/Unit/HttpGuardTest.cxx
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** A front in this process, with small limits, and one client of it. */
+/** An HttpFront in this process, with small limits, and one client. */
 class Fixture
 {
 public:
@@ -35,7 +35,8 @@
   {
     const Instant bound = ReadMonotonicClock() + std::chrono::seconds(20);
     while (!aCondition()) {
-      cr_assert(ReadMonotonicClock() < bound, "waited in vain");
+      cr_assert(ReadMonotonicClock() < bound,
+                "The condition was not met within 20 s.");
       QCoreApplication::processEvents(QEventLoop::AllEvents, 10);
     }
   }
@@ -77,11 +78,12 @@
   cr_assert(counts.headTooLarge_ == 2);
   cr_assert(counts.bodyTooLarge_ == 1);
   cr_assert(counts.tooSlow_ == 1);
-  cr_assert(fixture.exchanges_.empty(), "The library saw bad input.");
+  cr_assert(fixture.exchanges_.empty(),
+            "The library received malformed input.");
 }
 
-// The caller is gone when its answer is written. QHttpServer 6.4.2 then writes
-// to a freed socket and the whole process dies.
+// Guards against a crash of QHttpServer 6.4.2, which writes to a freed socket
+// when the caller disconnects before its response is written.
 Test(HttpGuard, AnswerToACallerThatHungUpIsDropped)
 {
   Fixture fixture;
@@ -100,9 +102,9 @@
   fixture.Until([&] { return fixture.front_->Unanswered() == 0; });
 }
 
-// A stop must not cut off a request that has partly arrived: its caller can't
-// know whether it ran. It is received whole, answered, and only then is the
-// connection closed.
+// Guards against a shutdown that closes a connection with a partly received
+// request, whose caller then can't determine whether the request ran. The
+// request must be received completely and answered before the close.
 Test(HttpGuard, StopLetsAHalfSentRequestFinish)
 {
   Fixture fixture(std::chrono::seconds(20));
--- a/Tests/Unit/LinkSessionTest.cxx
+++ b/Tests/Unit/LinkSessionTest.cxx
@@ -20,7 +20,7 @@
   return aId + ":" + std::string(64, aDigit);
 }
 
-/** Both ends of one link, with nothing between them. */
+/** Both ends of one link, connected without a network. */
 struct Pair
 {
   Pair(const std::string& aOpenerKeys, const std::string& aAcceptorKeys)
@@ -29,7 +29,7 @@
   {
   }
 
-  /** Runs the handshake; false as soon as one end refuses. */
+  /** Runs the handshake; returns false as soon as one end fails. */
   bool Handshake()
   {
     std::string toAcceptor = opener_.Start();
@@ -58,7 +58,7 @@
   return EncodeFrame(CancelMessage{ aAttempt });
 }
 
-/** What an acceptor makes of some bytes: the messages, or -1 if it refuses. */
+/** Returns the number of messages that a session decodes, or -1 if it fails. */
 int
 MessagesOf(LinkSession& aSession, const std::string& aBytes)
 {
@@ -89,9 +89,9 @@
   cr_assert(MessagesOf(pair.acceptor_, CancelFrame("x")) == 1);
 }
 
-// Operators change the key host by host: first every host learns the new one,
-// then it signs, then the old one goes. No pair of hosts may lose its link in
-// between.
+// Guards against links that fail during key rotation. Operators rotate a key
+// host by host: first each host accepts the new key, then signs with it, then
+// the old key is removed. No pair of hosts may lose its link in between.
 Test(LinkSession, AKeyChangesHostByHost)
 {
   const std::string oldKey = Key("a", '1');
@@ -105,8 +105,8 @@
   }
 }
 
-// Somebody who can reach a side's port sends it work, with no key, with
-// another key under the right id, or with a frame before any proof.
+// Guards against work accepted from an unauthenticated peer that has no key,
+// has a different key with the right id, or sends a frame before its proof.
 Test(LinkSession, AStrangerGetsNothingThrough)
 {
   cr_assert(!Pair("", Key("a", '1')).Handshake());
@@ -121,8 +121,8 @@
             -1);
 }
 
-// A stranger answers our hello with our own proof, or replays what he recorded
-// from another link: each link has nonces of its own.
+// Guards against replay of frames recorded on another link: the session key of
+// each link is derived from its own nonces.
 Test(LinkSession, RecordedFramesOfAnotherLinkAreRefused)
 {
   Pair first(Key("a", '1'), Key("a", '1'));
@@ -164,8 +164,9 @@
   }
 }
 
-// A stranger sends heartbeats for a side that does not exist, or changes the
-// address in a true one, and requests go to him.
+// Guards against an attacker that redirects requests to itself by sending
+// heartbeats for a side that does not exist or by changing the address in a
+// genuine heartbeat.
 Test(DatagramSeal, OnlyTaggedDatagramsAreTaken)
 {
   const auto ring = Ring(Key("a", '1') + "," + Key("b", '2'));
--- a/Tests/Unit/OperatorSignatureTest.cxx
+++ b/Tests/Unit/OperatorSignatureTest.cxx
@@ -49,8 +49,8 @@
   cr_assert(Accepts(kDrain, Signed(kDrain)));
 }
 
-// Somebody on the network changes what an operator signed: another verb,
-// another worker, another entry, another body.
+// Guards against an attacker on the network that modifies a signed request:
+// another method, worker, entry or body.
 Test(OperatorSignature, NothingOfTheRequestCanBeChanged)
 {
   const std::string signature = Signed(kDrain);
@@ -82,8 +82,8 @@
   cr_assert(!Accepts(kDrain, "HMAC ops:99999999999999999999-aa:bb"));
 }
 
-// A drain that was recorded on the network is sent again an hour later, or at
-// once, or just before its time runs out.
+// Guards against replay of a recorded drain request an hour later, immediately,
+// or just before its timestamp expires.
 Test(OperatorSignature, ARecordedRequestIsRefused)
 {
   const std::int64_t skew = SignatureChecker::kMaxSkewSeconds;
