--- a/Source/Connection/GuardedSocket.cxx
+++ b/Source/Connection/GuardedSocket.cxx
@@ -13,9 +13,9 @@
 
 namespace {
 
-constexpr qint64 kKernelReadAhead = 65536;
+constexpr qint64 kReadBufferBytes = 65536;
 /** Time during which data from a rejected caller is still read. */
-constexpr Millis kRefusalLinger{ 1000 };
+constexpr Millis kRejectionLinger{ 1000 };
 constexpr std::string_view kHeadEnd = "\r\n\r\n";
 
 QByteArray
@@ -40,29 +40,29 @@
     : owner_(aOwner)
     , limits_(aLimits)
     , counts_(aCounts)
-    , inner_(aOwner)
+    , socket_(aOwner)
     , timer_(aOwner)
   {
   }
 
   void OnReadyRead();
-  void OnInnerGone();
+  void OnSocketDisconnected();
   void OnTimer();
   void Refuse(const char* aStatusLine, const std::string& aReason);
   void ReleaseIfComplete();
   void EndConnection();
-  bool MoreHasArrived() const;
+  bool HasUnprocessedData() const;
 
   GuardedSocket* owner_;
   HttpLimits limits_;
   HttpGuardCounts* counts_;
-  QTcpSocket inner_;
+  QTcpSocket socket_;
   QTimer timer_;
   std::string incoming_;
   std::string released_;
   std::size_t releasedRead_ = 0;
   HttpRequestBounds bounds_;
-  bool headRead_ = false;
+  bool headParsed_ = false;
   bool busy_ = false;
   /** The caller requested that the connection close after this response. */
   bool closing_ = false;
@@ -70,7 +70,7 @@
    * been answered. */
   bool stopping_ = false;
   bool refused_ = false;
-  bool callerGone_ = false;
+  bool callerDisconnected_ = false;
   bool ended_ = false;
 };
 
@@ -78,7 +78,7 @@
 GuardedSocket::Private::OnReadyRead()
 {
   if (refused_) {
-    inner_.readAll();
+    socket_.readAll();
     return;
   }
   if (busy_) {
@@ -86,10 +86,10 @@
     // bounded, so TCP flow control slows the caller down.
     return;
   }
-  if (incoming_.empty() && inner_.bytesAvailable() > 0) {
+  if (incoming_.empty() && socket_.bytesAvailable() > 0) {
     timer_.start(limits_.receiveTimeout_);
   }
-  const QByteArray bytes = inner_.readAll();
+  const QByteArray bytes = socket_.readAll();
   incoming_.append(bytes.constData(), static_cast<std::size_t>(bytes.size()));
   ReleaseIfComplete();
 }
@@ -100,7 +100,7 @@
   if (busy_ || refused_ || incoming_.empty()) {
     return;
   }
-  if (!headRead_) {
+  if (!headParsed_) {
     const std::size_t end = incoming_.find(kHeadEnd);
     const std::size_t headBytes =
       end == std::string::npos ? incoming_.size() : end + kHeadEnd.size();
@@ -128,7 +128,7 @@
              "The request body is over the size limit; send a smaller body.");
       return;
     }
-    headRead_ = true;
+    headParsed_ = true;
   }
   const std::size_t whole = bounds_.headBytes_ + bounds_.bodyBytes_;
   if (incoming_.size() < whole) {
@@ -138,7 +138,7 @@
   released_.assign(incoming_, 0, whole);
   releasedRead_ = 0;
   incoming_.erase(0, whole);
-  headRead_ = false;
+  headParsed_ = false;
   busy_ = true;
   closing_ = closing_ || bounds_.lastOnConnection_;
   Q_EMIT owner_->readyRead();
@@ -148,7 +148,7 @@
  * Rejects the request and closes the connection. Closing while the caller still
  * sends resets the connection, and the reset discards the response before the
  * caller reads it. Therefore only the sending direction is shut down, and
- * received data is discarded until the caller closes or kRefusalLinger ends.
+ * received data is discarded until the caller closes or kRejectionLinger ends.
  */
 void
 GuardedSocket::Private::Refuse(const char* aStatusLine,
@@ -157,17 +157,17 @@
   refused_ = true;
   incoming_.clear();
   incoming_.shrink_to_fit();
-  timer_.start(kRefusalLinger);
-  inner_.write(RefusalText(aStatusLine, aReason));
-  inner_.flush();
-  ::shutdown(static_cast<int>(inner_.socketDescriptor()), SHUT_WR);
+  timer_.start(kRejectionLinger);
+  socket_.write(RefusalText(aStatusLine, aReason));
+  socket_.flush();
+  ::shutdown(static_cast<int>(socket_.socketDescriptor()), SHUT_WR);
 }
 
 void
-GuardedSocket::Private::OnInnerGone()
+GuardedSocket::Private::OnSocketDisconnected()
 {
   if (busy_) {
-    callerGone_ = true;
+    callerDisconnected_ = true;
     ++counts_->callersGone_;
     Q_EMIT owner_->CallerHungUp();
     return;
@@ -181,13 +181,13 @@
  * overtake the response that was just written.
  */
 bool
-GuardedSocket::Private::MoreHasArrived() const
+GuardedSocket::Private::HasUnprocessedData() const
 {
-  if (!incoming_.empty() || inner_.bytesAvailable() > 0) {
+  if (!incoming_.empty() || socket_.bytesAvailable() > 0) {
     return true;
   }
   char byte = 0;
-  const auto descriptor = static_cast<int>(inner_.socketDescriptor());
+  const auto descriptor = static_cast<int>(socket_.socketDescriptor());
   return descriptor >= 0 &&
          ::recv(descriptor, &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT) > 0;
 }
@@ -211,7 +211,7 @@
     return;
   }
   if (refused_ || incoming_.empty()) {
-    inner_.abort();
+    socket_.abort();
     return;
   }
   ++counts_->tooSlow_;
@@ -227,19 +227,19 @@
   , private_(std::make_unique<Private>(this, aLimits, aCounts))
 {
   Private* self = private_.get();
-  self->inner_.setSocketDescriptor(aDescriptor);
-  self->inner_.setReadBufferSize(kKernelReadAhead);
-  self->inner_.setSocketOption(QAbstractSocket::LowDelayOption, 1);
+  self->socket_.setSocketDescriptor(aDescriptor);
+  self->socket_.setReadBufferSize(kReadBufferBytes);
+  self->socket_.setSocketOption(QAbstractSocket::LowDelayOption, 1);
   setOpenMode(QIODevice::ReadWrite | QIODevice::Unbuffered);
   setSocketState(QAbstractSocket::ConnectedState);
-  setPeerAddress(self->inner_.peerAddress());
-  setPeerPort(self->inner_.peerPort());
+  setPeerAddress(self->socket_.peerAddress());
+  setPeerPort(self->socket_.peerPort());
   self->timer_.setSingleShot(true);
-  connect(&self->inner_, &QTcpSocket::readyRead, this, [self] {
+  connect(&self->socket_, &QTcpSocket::readyRead, this, [self] {
     self->OnReadyRead();
   });
-  connect(&self->inner_, &QTcpSocket::disconnected, this, [self] {
-    self->OnInnerGone();
+  connect(&self->socket_, &QTcpSocket::disconnected, this, [self] {
+    self->OnSocketDisconnected();
   });
   connect(&self->timer_, &QTimer::timeout, this, [self] { self->OnTimer(); });
   self->timer_.start(aLimits.idleTimeout_);
@@ -247,7 +247,7 @@
 
 GuardedSocket::~GuardedSocket()
 {
-  private_->inner_.disconnect(this);
+  private_->socket_.disconnect(this);
   private_->timer_.disconnect(this);
 }
 
@@ -258,14 +258,14 @@
     return;
   }
   private_->busy_ = false;
-  if (private_->callerGone_) {
+  if (private_->callerDisconnected_) {
     // Queued, because the library still uses this socket on its stack.
     QMetaObject::invokeMethod(
       this, [this] { private_->EndConnection(); }, Qt::QueuedConnection);
     return;
   }
-  if (AnswersLast()) {
-    private_->inner_.disconnectFromHost();
+  if (IsNextAnswerLast()) {
+    private_->socket_.disconnectFromHost();
     return;
   }
   private_->timer_.start(private_->limits_.idleTimeout_);
@@ -291,22 +291,22 @@
 GuardedSocket::CloseWhenIdle()
 {
   private_->stopping_ = true;
-  if (!private_->busy_ && !private_->MoreHasArrived()) {
-    private_->inner_.disconnectFromHost();
+  if (!private_->busy_ && !private_->HasUnprocessedData()) {
+    private_->socket_.disconnectFromHost();
   }
 }
 
 bool
-GuardedSocket::AnswersLast() const
+GuardedSocket::IsNextAnswerLast() const
 {
   return private_->closing_ ||
-         (private_->stopping_ && !private_->MoreHasArrived());
+         (private_->stopping_ && !private_->HasUnprocessedData());
 }
 
 bool
-GuardedSocket::CallerGone() const
+GuardedSocket::IsCallerDisconnected() const
 {
-  return private_->callerGone_;
+  return private_->callerDisconnected_;
 }
 
 bool
@@ -333,7 +333,7 @@
 qint64
 GuardedSocket::bytesToWrite() const
 {
-  return private_->inner_.bytesToWrite();
+  return private_->socket_.bytesToWrite();
 }
 
 void
@@ -346,7 +346,7 @@
 GuardedSocket::disconnectFromHost()
 {
   private_->busy_ = false;
-  private_->inner_.disconnectFromHost();
+  private_->socket_.disconnectFromHost();
 }
 
 qint64
@@ -363,10 +363,10 @@
 qint64
 GuardedSocket::writeData(const char* aData, qint64 aSize)
 {
-  if (private_->callerGone_) {
+  if (private_->callerDisconnected_) {
     return aSize;
   }
-  return private_->inner_.write(aData, aSize);
+  return private_->socket_.write(aData, aSize);
 }
 
 }
--- a/Source/Connection/GuardedSocket.h
+++ b/Source/Connection/GuardedSocket.h
@@ -70,10 +70,10 @@
   void CloseWhenIdle();
 
   /** Whether the next response is the last one on the connection. */
-  bool AnswersLast() const;
+  bool IsNextAnswerLast() const;
 
   /** Whether the caller has disconnected; its response is discarded. */
-  bool CallerGone() const;
+  bool IsCallerDisconnected() const;
 
   /** Whether a request, complete or partial, has no response yet. */
   bool Busy() const;
--- a/Source/Connection/HttpCaller.cxx
+++ b/Source/Connection/HttpCaller.cxx
@@ -96,7 +96,7 @@
     bool timedOut_ = false;
   };
 
-  QNetworkAccessManager* TakeManager();
+  QNetworkAccessManager* AcquireManager();
   QNetworkReply* Send(QNetworkAccessManager& aManager, HttpCall& aCall);
   void DropConnections(QNetworkAccessManager* aManager);
   void Finish(std::uint64_t aCallId);
@@ -108,7 +108,7 @@
 };
 
 QNetworkAccessManager*
-HttpCaller::Private::TakeManager()
+HttpCaller::Private::AcquireManager()
 {
   if (idle_.empty()) {
     auto* manager = new QNetworkAccessManager(this);
@@ -176,8 +176,8 @@
   const bool chunked =
     reply->rawHeader("Transfer-Encoding").toLower().contains("chunked");
   const QVariant length = reply->header(QNetworkRequest::ContentLengthHeader);
-  const bool bodyless = answer.status_ == 204 || answer.status_ == 304;
-  if (hasBody && !bodyless && !chunked &&
+  const bool statusWithoutBody = answer.status_ == 204 || answer.status_ == 304;
+  if (hasBody && !statusWithoutBody && !chunked &&
       (!length.isValid() || length.toULongLong() != answer.body_.size())) {
     return Failure{ FailureKind::Broken,
                     Verdict::MayHaveRun,
@@ -246,7 +246,7 @@
   Private* self = private_.get();
   const std::uint64_t id = self->nextCall_++;
   Private::Running& running = self->running_[id];
-  running.manager_ = self->TakeManager();
+  running.manager_ = self->AcquireManager();
   running.callback_ = std::move(aCallback);
   running.url_ = aCall.url_;
   const Instant deadline = aCall.deadline_;
--- a/Source/Connection/HttpFront.cxx
+++ b/Source/Connection/HttpFront.cxx
@@ -26,8 +26,8 @@
 constexpr int kBacklog = 512;
 /** Time within which handshakes in flight complete; the round trip to callers
  * is 3 ms. */
-constexpr Millis kHandshakeGrace{ 250 };
-constexpr Millis kAcceptCheck{ 10 };
+constexpr Millis kHandshakeTimeout{ 250 };
+constexpr Millis kAcceptCheckInterval{ 10 };
 
 std::string_view
 MethodText(QHttpServerRequest::Method aMethod)
@@ -53,7 +53,7 @@
 }
 
 bool
-SameName(std::string_view aFirst, std::string_view aSecond)
+EqualHeaderNames(std::string_view aFirst, std::string_view aSecond)
 {
   return std::equal(aFirst.begin(),
                     aFirst.end(),
@@ -143,18 +143,18 @@
  * no request; its next attempt is refused or reaches another process.
  */
 void
-RefuseHandshakes(int aDescriptor)
+DropConnectionRequests(int aDescriptor)
 {
   constexpr std::uint32_t kFlagsOffset = 13;
   constexpr std::uint32_t kSynAndAck = 0x12;
   constexpr std::uint32_t kSyn = 0x02;
-  constexpr std::uint32_t kKeepAll = 0xffffffff;
+  constexpr std::uint32_t kWholePacket = 0xffffffff;
   std::array<sock_filter, 5> program{ {
     BPF_STMT(BPF_LD | BPF_B | BPF_ABS, kFlagsOffset),
     BPF_STMT(BPF_ALU | BPF_AND | BPF_K, kSynAndAck),
     BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, kSyn, 0, 1),
     BPF_STMT(BPF_RET | BPF_K, 0),
-    BPF_STMT(BPF_RET | BPF_K, kKeepAll),
+    BPF_STMT(BPF_RET | BPF_K, kWholePacket),
   } };
   const sock_fprog filter{ program.size(), program.data() };
   // If the filter can't be attached, the accept queue is still drained before
@@ -223,7 +223,7 @@
                          QByteArray::fromStdString(aAnswer.contentType_));
   responder_.writeHeader("Content-Length",
                          QByteArray::number(aAnswer.body_.size()));
-  if (socket_->AnswersLast()) {
+  if (socket_->IsNextAnswerLast()) {
     responder_.writeHeader("Connection", "close");
   }
   for (const auto& [name, value] : aAnswer.headers_) {
@@ -273,7 +273,7 @@
 HttpExchange::Header(std::string_view aName) const
 {
   for (const auto& [name, value] : private_->headers_) {
-    if (SameName(name, aName)) {
+    if (EqualHeaderNames(name, aName)) {
       return value;
     }
   }
@@ -369,7 +369,8 @@
 HttpFront::Private::CloseOnceAccepted()
 {
   if (HasPendingConnection(static_cast<int>(server_.socketDescriptor()))) {
-    QTimer::singleShot(kAcceptCheck, this, [this] { CloseOnceAccepted(); });
+    QTimer::singleShot(
+      kAcceptCheckInterval, this, [this] { CloseOnceAccepted(); });
     return;
   }
   server_.close();
@@ -392,11 +393,12 @@
                   const HttpLimits& aLimits,
                   Handler aHandler)
 {
-  const std::string place = std::string(aAddress) + ":" + std::to_string(aPort);
+  const std::string endpoint =
+    std::string(aAddress) + ":" + std::to_string(aPort);
   const QHostAddress address(QString::fromStdString(std::string(aAddress)));
   if (address.protocol() != QAbstractSocket::IPv4Protocol) {
     return NotRun(FailureKind::BadInput,
-                  "Can't listen on " + place +
+                  "Can't listen on " + endpoint +
                     ": the address is not a numeric IPv4 address.");
   }
   auto self = std::make_unique<Private>(aLimits, std::move(aHandler));
@@ -404,7 +406,7 @@
   if (descriptor < 0 || !self->server_.setSocketDescriptor(descriptor)) {
     return NotRun(
       FailureKind::Unreachable,
-      "Can't listen on " + place +
+      "Can't listen on " + endpoint +
         ": the address does not belong to this host or the port is in "
         "use.");
   }
@@ -428,10 +430,11 @@
 HttpFront::StopListening()
 {
   CloseAfterAnswers();
-  RefuseHandshakes(static_cast<int>(private_->server_.socketDescriptor()));
+  DropConnectionRequests(
+    static_cast<int>(private_->server_.socketDescriptor()));
   Private* self = private_.get();
   QTimer::singleShot(
-    kHandshakeGrace, self, [self] { self->CloseOnceAccepted(); });
+    kHandshakeTimeout, self, [self] { self->CloseOnceAccepted(); });
 }
 
 void
--- a/Source/Connection/HttpFront.h
+++ b/Source/Connection/HttpFront.h
@@ -83,9 +83,9 @@
 
   /**
    * Rejects new connections without losing an established one; see
-   * RefuseHandshakes() in the source. Idle connections close at once, busy ones
-   * after their response. Listening() is true until the last established
-   * connection has been accepted.
+   * DropConnectionRequests() in the source. Idle connections close at once,
+   * busy ones after their response. Listening() is true until the last
+   * established connection has been accepted.
    */
   void StopListening();
   bool Listening() const;
--- a/Source/Connection/LinkSession.cxx
+++ b/Source/Connection/LinkSession.cxx
@@ -10,7 +10,7 @@
 constexpr std::string_view kOpenerProof = "opener holds the key";
 constexpr std::string_view kAcceptorProof = "acceptor holds the key";
 /** Maximum size in bytes of a frame from an unauthenticated peer. */
-constexpr std::size_t kMaxHandshakeFrame = 1024;
+constexpr std::size_t kMaxHandshakeFrameBytes = 1024;
 
 Failure
 Refuse(std::string aMessage)
@@ -58,9 +58,9 @@
   reader_.Append(aBytes);
   LinkInput input;
   for (;;) {
-    const bool tagged = inward_.has_value();
+    const bool tagged = incomingSigner_.has_value();
     const std::size_t limit =
-      established_ ? kMaxFrameBytes : kMaxHandshakeFrame;
+      established_ ? kMaxFrameBytes : kMaxHandshakeFrameBytes;
     const Result<std::optional<RawFrame>> next =
       reader_.Next(tagged ? kTagBytes : 0, limit);
     if (const auto* failure = std::get_if<Failure>(&next)) {
@@ -70,8 +70,8 @@
     if (!raw.has_value()) {
       return input;
     }
-    if (tagged &&
-        !SameTag(inward_->NextTag(TextOf(raw->frame_)), TextOf(raw->tag_))) {
+    if (tagged && !SameTag(incomingSigner_->NextTag(TextOf(raw->frame_)),
+                           TextOf(raw->tag_))) {
       return Refuse("The tag of a received frame is invalid.");
     }
     Result<WireMessage> message = DecodeFrame(raw->frame_);
@@ -83,7 +83,7 @@
       continue;
     }
     const std::optional<Failure> refused =
-      TakeHandshake(std::get<WireMessage>(message), input);
+      ProcessHandshake(std::get<WireMessage>(message), input);
     if (refused.has_value()) {
       return *refused;
     }
@@ -91,19 +91,19 @@
 }
 
 std::optional<Failure>
-LinkSession::TakeHandshake(const WireMessage& aMessage, LinkInput& aInput)
+LinkSession::ProcessHandshake(const WireMessage& aMessage, LinkInput& aInput)
 {
   if (const auto* hello = std::get_if<LinkHelloMessage>(&aMessage)) {
-    return TakeHello(*hello, aInput);
+    return ProcessHello(*hello, aInput);
   }
   if (const auto* proof = std::get_if<LinkProofMessage>(&aMessage)) {
-    return TakeProof(*proof, aInput);
+    return ProcessProof(*proof, aInput);
   }
   return Refuse("The peer sent a message before the handshake was complete.");
 }
 
 std::optional<Failure>
-LinkSession::TakeHello(const LinkHelloMessage& aHello, LinkInput& aInput)
+LinkSession::ProcessHello(const LinkHelloMessage& aHello, LinkInput& aInput)
 {
   if (IsOpener() || !peerNonce_.empty() ||
       aHello.nonce_.size() != kNonceBytes) {
@@ -121,7 +121,7 @@
 }
 
 std::optional<Failure>
-LinkSession::TakeProof(const LinkProofMessage& aProof, LinkInput& aInput)
+LinkSession::ProcessProof(const LinkProofMessage& aProof, LinkInput& aInput)
 {
   if (!IsOpener()) {
     if (sessionKey_.empty() ||
@@ -153,25 +153,25 @@
 std::string
 LinkSession::SessionKey(const SharedKey& aKey) const
 {
-  const std::string& openers = IsOpener() ? ownNonce_ : peerNonce_;
-  const std::string& acceptors = IsOpener() ? peerNonce_ : ownNonce_;
+  const std::string& openerNonce = IsOpener() ? ownNonce_ : peerNonce_;
+  const std::string& acceptorNonce = IsOpener() ? peerNonce_ : ownNonce_;
   return MakeTag(aKey.secret_,
-                 std::string(kSessionPurpose) + openers + acceptors);
+                 std::string(kSessionPurpose) + openerNonce + acceptorNonce);
 }
 
 void
 LinkSession::Establish(const std::string& aSessionKey)
 {
-  outward_.emplace(aSessionKey, direction_);
-  inward_.emplace(aSessionKey, Opposite(direction_));
+  outgoingSigner_.emplace(aSessionKey, direction_);
+  incomingSigner_.emplace(aSessionKey, Opposite(direction_));
   established_ = true;
 }
 
 std::string
 LinkSession::Seal(std::string aFrame)
 {
-  if (outward_.has_value()) {
-    aFrame += outward_->NextTag(aFrame);
+  if (outgoingSigner_.has_value()) {
+    aFrame += outgoingSigner_->NextTag(aFrame);
   }
   return aFrame;
 }
--- a/Source/Connection/LinkSession.h
+++ b/Source/Connection/LinkSession.h
@@ -59,12 +59,12 @@
   std::string Seal(std::string aFrame);
 
 private:
-  std::optional<Failure> TakeHandshake(const WireMessage& aMessage,
-                                       LinkInput& aInput);
-  std::optional<Failure> TakeHello(const LinkHelloMessage& aHello,
-                                   LinkInput& aInput);
-  std::optional<Failure> TakeProof(const LinkProofMessage& aProof,
-                                   LinkInput& aInput);
+  std::optional<Failure> ProcessHandshake(const WireMessage& aMessage,
+                                          LinkInput& aInput);
+  std::optional<Failure> ProcessHello(const LinkHelloMessage& aHello,
+                                      LinkInput& aInput);
+  std::optional<Failure> ProcessProof(const LinkProofMessage& aProof,
+                                      LinkInput& aInput);
   std::string SessionKey(const SharedKey& aKey) const;
   void Establish(const std::string& aSessionKey);
   bool IsOpener() const { return direction_ == FrameDirection::FromOpener; }
@@ -76,8 +76,8 @@
   bool established_;
   FrameReader reader_;
   std::string sessionKey_;
-  std::optional<FrameSigner> outward_;
-  std::optional<FrameSigner> inward_;
+  std::optional<FrameSigner> outgoingSigner_;
+  std::optional<FrameSigner> incomingSigner_;
 };
 
 }
--- a/Source/Connection/OperatorSignature.cxx
+++ b/Source/Connection/OperatorSignature.cxx
@@ -42,15 +42,15 @@
     .toStdString();
 }
 
-/** Returns the tag in hex; aMoment is "seconds-nonce". */
+/** Returns the tag in hex; aTimeAndNonce is "seconds-nonce". */
 std::string
 TagOf(const SignedRequest& aRequest,
       const SharedKey& aKey,
-      std::string_view aMoment)
+      std::string_view aTimeAndNonce)
 {
   std::string text(kPurpose);
   for (const std::string_view part :
-       { aRequest.method_, aRequest.host_, aRequest.target_, aMoment }) {
+       { aRequest.method_, aRequest.host_, aRequest.target_, aTimeAndNonce }) {
     text += '\n';
     text += part;
   }
@@ -63,7 +63,7 @@
 struct Authorization
 {
   std::string_view keyId_;
-  std::string_view moment_;
+  std::string_view timeAndNonce_;
   std::int64_t seconds_ = 0;
   std::string_view tag_;
 };
@@ -82,15 +82,15 @@
   }
   Authorization read;
   read.keyId_ = aText.substr(0, first);
-  read.moment_ = aText.substr(first + 1, last - first - 1);
+  read.timeAndNonce_ = aText.substr(first + 1, last - first - 1);
   read.tag_ = aText.substr(last + 1);
-  const char* begin = read.moment_.data();
+  const char* begin = read.timeAndNonce_.data();
   const auto [stop, error] =
-    std::from_chars(begin, begin + read.moment_.size(), read.seconds_);
+    std::from_chars(begin, begin + read.timeAndNonce_.size(), read.seconds_);
   const auto digits = static_cast<std::size_t>(stop - begin);
   if (error != std::errc() ||
-      read.moment_.size() != digits + 1 + 2 * kNonceBytes ||
-      read.moment_[digits] != '-') {
+      read.timeAndNonce_.size() != digits + 1 + 2 * kNonceBytes ||
+      read.timeAndNonce_[digits] != '-') {
     return std::nullopt;
   }
   return read;
@@ -104,9 +104,10 @@
             std::int64_t aUnixSeconds,
             std::string_view aNonce)
 {
-  const std::string moment = std::to_string(aUnixSeconds) + "-" + Hex(aNonce);
-  return std::string(kScheme) + aKey.id_ + ":" + moment + ":" +
-         TagOf(aRequest, aKey, moment);
+  const std::string timeAndNonce =
+    std::to_string(aUnixSeconds) + "-" + Hex(aNonce);
+  return std::string(kScheme) + aKey.id_ + ":" + timeAndNonce + ":" +
+         TagOf(aRequest, aKey, timeAndNonce);
 }
 
 void
@@ -144,7 +145,7 @@
   }
   const SharedKey* key = aRing.Find(read->keyId_);
   if (key == nullptr ||
-      !SameTag(TagOf(aRequest, *key, read->moment_), read->tag_)) {
+      !SameTag(TagOf(aRequest, *key, read->timeAndNonce_), read->tag_)) {
     return Refuse("The request's signature is invalid, or its key is not "
                   "configured in this process.");
   }
@@ -161,10 +162,10 @@
   }
   // Rejects replayed requests: a nonce is stored for as long as the request's
   // timestamp is accepted.
-  const bool fresh =
-    nonces_
-      .emplace(std::string(read->moment_), read->seconds_ + kMaxSkewSeconds)
-      .second;
+  const bool fresh = nonces_
+                       .emplace(std::string(read->timeAndNonce_),
+                                read->seconds_ + kMaxSkewSeconds)
+                       .second;
   if (!fresh) {
     return Refuse(
       "The signed request has already been received; sign it again.");
--- a/Source/Connection/ReportDecoder.cxx
+++ b/Source/Connection/ReportDecoder.cxx
@@ -7,7 +7,7 @@
 FleetReport
 ReportDecoder::Take(const FleetReport& aReport)
 {
-  begun_ = true;
+  hasBaseline_ = true;
   sequence_ = 0;
   worker_ = aReport.worker_;
   runs_.clear();
@@ -53,9 +53,9 @@
 std::optional<FleetReport>
 ReportDecoder::Take(const FleetReportChange& aChange)
 {
-  const bool follows = begun_ && aChange.sequence_ == sequence_ + 1;
-  if (!follows || aChange.worker_.size() > 1 || !Apply(aChange)) {
-    begun_ = false;
+  const bool isInSequence = hasBaseline_ && aChange.sequence_ == sequence_ + 1;
+  if (!isInSequence || aChange.worker_.size() > 1 || !Apply(aChange)) {
+    hasBaseline_ = false;
     return std::nullopt;
   }
   ++sequence_;
--- a/Source/Connection/ReportDecoder.h
+++ b/Source/Connection/ReportDecoder.h
@@ -28,7 +28,7 @@
   /** Applies the changes to runs_; returns false for an unknown run. */
   bool Apply(const FleetReportChange& aChange);
 
-  bool begun_ = false;
+  bool hasBaseline_ = false;
   std::uint32_t sequence_ = 0;
   WorkerDescription worker_;
   std::map<std::uint16_t, RunFact> runs_;
--- a/Source/Connection/ReportEncoder.cxx
+++ b/Source/Connection/ReportEncoder.cxx
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::uint32_t kMostNumbers =
+constexpr std::uint32_t kMaxRunNumber =
   std::numeric_limits<std::uint16_t>::max();
 
 std::uint8_t
@@ -22,19 +22,19 @@
 void
 ReportEncoder::Reset()
 {
-  begun_ = false;
+  hasBaseline_ = false;
 }
 
 bool
-ReportEncoder::HasNumbersFor(const FleetReport& aReport) const
+ReportEncoder::HasRunNumbersFor(const FleetReport& aReport) const
 {
-  return nextNumber_ + aReport.runs_.size() <= kMostNumbers;
+  return nextNumber_ + aReport.runs_.size() <= kMaxRunNumber;
 }
 
 WireMessage
-ReportEncoder::EncodeWhole(FleetReport aReport)
+ReportEncoder::EncodeFullReport(FleetReport aReport)
 {
-  begun_ = true;
+  hasBaseline_ = true;
   sequence_ = 0;
   nextNumber_ = 0;
   worker_ = aReport.worker_;
@@ -49,7 +49,7 @@
 }
 
 void
-ReportEncoder::NoteRun(RunFact aFact, FleetReportChange& aChange)
+ReportEncoder::EncodeRun(RunFact aFact, FleetReportChange& aChange)
 {
   const auto [entry, isNew] =
     known_.try_emplace(RunKey(aFact.task_, aFact.run_));
@@ -74,7 +74,7 @@
 }
 
 void
-ReportEncoder::NoteRemoved(FleetReportChange& aChange)
+ReportEncoder::EncodeRemovedRuns(FleetReportChange& aChange)
 {
   for (auto entry = known_.begin(); entry != known_.end();) {
     if (entry->second.listed_) {
@@ -90,8 +90,8 @@
 WireMessage
 ReportEncoder::Encode(FleetReport aReport)
 {
-  if (!begun_ || !HasNumbersFor(aReport)) {
-    return EncodeWhole(std::move(aReport));
+  if (!hasBaseline_ || !HasRunNumbersFor(aReport)) {
+    return EncodeFullReport(std::move(aReport));
   }
   FleetReportChange change;
   change.sequence_ = ++sequence_;
@@ -103,9 +103,9 @@
     change.worker_.push_back(worker_);
   }
   for (RunFact& fact : aReport.runs_) {
-    NoteRun(std::move(fact), change);
+    EncodeRun(std::move(fact), change);
   }
-  NoteRemoved(change);
+  EncodeRemovedRuns(change);
   change.ends_ = std::move(aReport.ends_);
   change.refused_ = std::move(aReport.refused_);
   return change;
--- a/Source/Connection/ReportEncoder.h
+++ b/Source/Connection/ReportEncoder.h
@@ -36,13 +36,13 @@
     RunFact fact_;
   };
 
-  WireMessage EncodeWhole(FleetReport aReport);
-  void NoteRun(RunFact aFact, FleetReportChange& aChange);
-  void NoteRemoved(FleetReportChange& aChange);
+  WireMessage EncodeFullReport(FleetReport aReport);
+  void EncodeRun(RunFact aFact, FleetReportChange& aChange);
+  void EncodeRemovedRuns(FleetReportChange& aChange);
   /** Whether unused numbers remain for every run that may be new. */
-  bool HasNumbersFor(const FleetReport& aReport) const;
+  bool HasRunNumbersFor(const FleetReport& aReport) const;
 
-  bool begun_ = false;
+  bool hasBaseline_ = false;
   std::uint32_t sequence_ = 0;
   std::uint32_t nextNumber_ = 0;
   WorkerDescription worker_;
--- a/Source/Connection/TableClient.cxx
+++ b/Source/Connection/TableClient.cxx
@@ -19,7 +19,7 @@
 /** Counts a completed call and returns its result. */
 template<typename Value>
 Result<Value>
-Counted(Result<Value> aResult)
+CountCall(Result<Value> aResult)
 {
   Metrics& metrics = Metrics::OfProcess();
   metrics.Count(Counter::TableCalls);
@@ -120,7 +120,7 @@
   private_->caller_.Start(
     std::move(call),
     [callback = std::move(aCallback)](const Result<HttpReply>& aReply) {
-      callback(Counted(ReadOutcome(aReply)));
+      callback(CountCall(ReadOutcome(aReply)));
     });
 }
 
@@ -138,7 +138,7 @@
   private_->caller_.Start(
     std::move(call),
     [callback = std::move(aCallback)](const Result<HttpReply>& aReply) {
-      callback(Counted(ReadRows(aReply)));
+      callback(CountCall(ReadRows(aReply)));
     });
 }
 
--- a/Tests/Fleet/ReportChangeTest.cxx
+++ b/Tests/Fleet/ReportChangeTest.cxx
@@ -97,7 +97,7 @@
 
 }
 
-Test(ReportChange, LeaderSeesWhatTheSideReported)
+Test(ReportChange, LeaderReconstructsEveryReport)
 {
   for (std::uint32_t seed = 0; seed < 50; ++seed) {
     std::mt19937 random(seed);
@@ -114,7 +114,7 @@
   }
 }
 
-Test(ReportChange, FirstOnALinkIsWhole)
+Test(ReportChange, FirstReportOnLinkIsFull)
 {
   ReportEncoder encoder;
   const FleetReport report = MakeReport(3);
@@ -126,7 +126,7 @@
 
 // Guards against a run that is wrongly considered ended or present because a
 // change was lost, duplicated or reordered.
-Test(ReportChange, LostRepeatedOrReorderedChangesAreRefused)
+Test(ReportChange, LostRepeatedOrReorderedChangesAreRejected)
 {
   ReportEncoder encoder;
   FleetReport report = MakeReport(3);
@@ -150,7 +150,7 @@
   cr_assert_not(Take(repeated, first).has_value());
 }
 
-Test(ReportChange, UnknownNumbersAreRefused)
+Test(ReportChange, UnknownRunNumbersAreRejected)
 {
   const auto refuses = [](const FleetReportChange& aChange) {
     ReportDecoder decoder;
@@ -179,27 +179,27 @@
 
 // Guards against reused run numbers on a link that stays open for days and
 // exhausts all numbers.
-Test(ReportChange, NumbersThatRunOutBeginAnewWithAWholeReport)
+Test(ReportChange, ExhaustedRunNumbersRestartWithFullReport)
 {
   ReportEncoder encoder;
   ReportDecoder decoder;
-  int wholes = 0;
+  int fullReports = 0;
   for (int i = 0; i < 70000; ++i) {
     FleetReport report = IdleReport(At(i));
     report.runs_.push_back(MakeRun(i));
     const WireMessage message = encoder.Encode(report);
-    wholes += std::holds_alternative<FleetReport>(message);
+    fullReports += std::holds_alternative<FleetReport>(message);
     const auto seen = Take(decoder, message);
     cr_assert(seen.has_value());
     cr_assert_eq(seen->runs_.front().task_, report.runs_.front().task_);
   }
-  cr_assert_eq(wholes, 2);
+  cr_assert_eq(fullReports, 2);
 }
 
 // Guards against reports that saturate the leader's link, as the full reports
 // of 240 sides did. Scenario: a side with a dozen runs sends its figures four
 // times a second.
-Test(ReportChange, FiguresOfADozenRunsAreSmall)
+Test(ReportChange, ChangeOfTwelveRunsIsSmall)
 {
   ReportEncoder encoder;
   FleetReport report = MakeReport(12);
@@ -215,54 +215,57 @@
 
 namespace {
 
-struct Relinking
+struct LinkLossScenario
 {
   /** Network delays of reports and of orders. */
-  int reportMs_;
-  int ordersMs_;
+  int reportDelayMs_;
+  int orderDelayMs_;
   /** Delay until the link is lost a second time; none if negative. */
-  int secondMs_;
+  int secondLossDelayMs_;
 };
 
-/** Runs short tasks on two hosts and loses the link of one after aMomentMs. */
+/** Runs short tasks on two hosts and loses the link of one after aLossTimeMs.
+ */
 void
-RunWithLostLink(const Relinking& aRelinking, int aMomentMs)
+RunWithLostLink(const LinkLossScenario& aScenario, int aLossTimeMs)
 {
   constexpr std::uint32_t kTasks = 2;
   constexpr int kStepMs = 10;
-  constexpr int kApartMs = 30;
-  constexpr int kSpanMs = 1500;
+  constexpr int kSubmitIntervalMs = 30;
+  constexpr int kDurationMs = 1500;
   FleetWorld world(2, { 4000, 64000, 0 });
-  world.reportDelay_ = Millis(aRelinking.reportMs_);
-  world.orderDelay_ = Millis(aRelinking.ordersMs_);
+  world.reportDelay_ = Millis(aScenario.reportDelayMs_);
+  world.orderDelay_ = Millis(aScenario.orderDelayMs_);
   world.Host(0).worker_.taskTime_ = Millis(150);
   world.Host(1).worker_.taskTime_ = Millis(250);
   world.Run(Millis(2000));
   // Orders and reports are in flight at all times.
-  std::vector<int> relinksAt{ aMomentMs };
-  if (aRelinking.secondMs_ >= 0) {
-    relinksAt.push_back(aMomentMs + aRelinking.secondMs_);
+  std::vector<int> linkLossTimes{ aLossTimeMs };
+  if (aScenario.secondLossDelayMs_ >= 0) {
+    linkLossTimes.push_back(aLossTimeMs + aScenario.secondLossDelayMs_);
   }
-  for (int at = 0; at < kSpanMs; at += kStepMs) {
-    if (at % kApartMs == 0) {
-      world.Submit(MakeJob("job" + std::to_string(at / kApartMs), kTasks, 600));
+  for (int at = 0; at < kDurationMs; at += kStepMs) {
+    if (at % kSubmitIntervalMs == 0) {
+      world.Submit(
+        MakeJob("job" + std::to_string(at / kSubmitIntervalMs), kTasks, 600));
     }
-    if (std::find(relinksAt.begin(), relinksAt.end(), at) != relinksAt.end()) {
+    if (std::find(linkLossTimes.begin(), linkLossTimes.end(), at) !=
+        linkLossTimes.end()) {
       world.Relink(0);
     }
     world.Run(Millis(kStepMs));
   }
   world.Run(Millis(6000));
-  cr_assert_eq(world.MostRunsAtOnce(), 1, "after %d ms", aMomentMs);
-  cr_assert_not(world.EverOverRoom(), "after %d ms", aMomentMs);
-  cr_assert_eq(world.reportsRefused_, 0, "after %d ms", aMomentMs);
-  for (int i = 0; i < kSpanMs / kApartMs; ++i) {
+  cr_assert_eq(world.MostRunsAtOnce(), 1, "after %d ms", aLossTimeMs);
+  cr_assert_not(world.EverOverRoom(), "after %d ms", aLossTimeMs);
+  cr_assert_eq(world.reportsRefused_, 0, "after %d ms", aLossTimeMs);
+  for (int i = 0; i < kDurationMs / kSubmitIntervalMs; ++i) {
     const std::string job = "job" + std::to_string(i);
     cr_assert_eq(world.StateOf(job), JobState::Completed);
     for (std::uint32_t task = 0; task < kTasks; ++task) {
       const std::string name = job + ".0.0." + std::to_string(task);
       cr_assert_eq(
-        world.Starts(name), 1, "%s after %d ms", name.c_str(), aMomentMs);
+        world.Starts(name), 1, "%s after %d ms", name.c_str(), aLossTimeMs);
     }
   }
 }
@@ -271,25 +274,26 @@
 
 // Guards against a task that starts twice because a link was lost between its
 // start order, its start and the report of the start.
-ParameterizedTestParameters(ReportChange, LinkLostAtAnyMomentStartsNothingTwice)
+ParameterizedTestParameters(ReportChange, LinkLossAtAnyTimeStartsNoTaskTwice)
 {
-  static std::array<Relinking, 8> relinkings{ { { 0, 0, -1 },
-                                                { 30, 0, -1 },
-                                                { 0, 30, -1 },
-                                                { 30, 30, -1 },
-                                                { 0, 0, 10 },
-                                                { 30, 30, 20 },
-                                                { 30, 30, 60 },
-                                                { 0, 80, 100 } } };
-  return cr_make_param_array(Relinking, relinkings.data(), relinkings.size());
+  static std::array<LinkLossScenario, 8> scenarios{ { { 0, 0, -1 },
+                                                      { 30, 0, -1 },
+                                                      { 0, 30, -1 },
+                                                      { 30, 30, -1 },
+                                                      { 0, 0, 10 },
+                                                      { 30, 30, 20 },
+                                                      { 30, 30, 60 },
+                                                      { 0, 80, 100 } } };
+  return cr_make_param_array(
+    LinkLossScenario, scenarios.data(), scenarios.size());
 }
 
-ParameterizedTest(const Relinking* aRelinking,
+ParameterizedTest(const LinkLossScenario* aScenario,
                   ReportChange,
-                  LinkLostAtAnyMomentStartsNothingTwice)
+                  LinkLossAtAnyTimeStartsNoTaskTwice)
 {
-  constexpr int kLastMomentMs = 1200;
-  for (int moment = 0; moment < kLastMomentMs; moment += 10) {
-    RunWithLostLink(*aRelinking, moment);
+  constexpr int kLastLossTimeMs = 1200;
+  for (int lossTimeMs = 0; lossTimeMs < kLastLossTimeMs; lossTimeMs += 10) {
+    RunWithLostLink(*aScenario, lossTimeMs);
   }
 }
--- a/Tests/Fuzz/FuzzDriver.cxx
+++ b/Tests/Fuzz/FuzzDriver.cxx
@@ -19,30 +19,31 @@
 std::string
 Mutate(std::string aInput, std::mt19937_64& aRandom)
 {
-  const auto below = [&aRandom](std::size_t aLimit) {
+  const auto randomBelow = [&aRandom](std::size_t aLimit) {
     return static_cast<std::size_t>(aRandom() %
                                     std::max<std::size_t>(aLimit, 1));
   };
-  const std::size_t changes = 1 + below(6);
+  const std::size_t changes = 1 + randomBelow(6);
   for (std::size_t change = 0; change < changes; ++change) {
-    const std::size_t at = below(aInput.size());
-    switch (below(6)) {
+    const std::size_t at = randomBelow(aInput.size());
+    switch (randomBelow(6)) {
       case 0:
         if (!aInput.empty()) {
-          aInput[at] = static_cast<char>(aInput[at] ^ (1U << below(8)));
+          aInput[at] = static_cast<char>(aInput[at] ^ (1U << randomBelow(8)));
         }
         break;
       case 1:
         aInput.insert(at, 1, static_cast<char>(aRandom()));
         break;
       case 2:
-        aInput.erase(at, 1 + below(8));
+        aInput.erase(at, 1 + randomBelow(8));
         break;
       case 3:
         aInput.resize(at);
         break;
       case 4:
-        aInput.insert(at, aInput.substr(below(aInput.size()), below(64)));
+        aInput.insert(
+          at, aInput.substr(randomBelow(aInput.size()), randomBelow(64)));
         break;
       default:
         // Simulates lengths far beyond the size of the input.
--- a/Tests/Fuzz/FuzzTargets.cxx
+++ b/Tests/Fuzz/FuzzTargets.cxx
@@ -19,9 +19,9 @@
 
 /** Aborts if an invariant is violated, so that any fuzz driver detects it. */
 void
-Require(bool aHolds)
+AbortUnless(bool aCondition)
 {
-  if (!aHolds) {
+  if (!aCondition) {
     std::abort();
   }
 }
@@ -36,8 +36,8 @@
   }
   // Re-encoding a decoded message must reproduce the input.
   const std::string again = EncodeFrame(*message);
-  Require(Succeeded(DecodeFrame(again)));
-  Require(again == aInput);
+  AbortUnless(Succeeded(DecodeFrame(again)));
+  AbortUnless(again == aInput);
 }
 
 FleetReport
@@ -66,8 +66,8 @@
   decoder.Take(SideReport());
   if (const auto report = decoder.Take(*change)) {
     const std::size_t known = SideReport().runs_.size();
-    Require(report->runs_.size() + change->removed_.size() ==
-            known + change->added_.size());
+    AbortUnless(report->runs_.size() + change->removed_.size() ==
+                known + change->added_.size());
   }
 }
 
@@ -75,7 +75,7 @@
 RunReader(std::string_view aInput)
 {
   FrameReader whole;
-  const auto atOnce = whole.Take(aInput);
+  const auto unsplitResult = whole.Take(aInput);
   FrameReader halves;
   const std::size_t half = aInput.size() / 2;
   const auto first = halves.Take(aInput.substr(0, half));
@@ -83,7 +83,7 @@
   const bool failed =
     firstFailed || !Succeeded(halves.Take(aInput.substr(half)));
   // The validity of a stream must not depend on how it is split.
-  Require(failed == !Succeeded(atOnce));
+  AbortUnless(failed == !Succeeded(unsplitResult));
 }
 
 void
@@ -91,7 +91,7 @@
 {
   const Result<HttpRequestBounds> bounds = ReadHttpBounds(aInput);
   if (const auto* read = std::get_if<HttpRequestBounds>(&bounds)) {
-    Require(read->headBytes_ == aInput.size());
+    AbortUnless(read->headBytes_ == aInput.size());
   }
 }
 
@@ -101,7 +101,8 @@
   const Result<Configuration> parsed = ParseConfiguration(aInput);
   const auto* configuration = std::get_if<Configuration>(&parsed);
   if (configuration != nullptr) {
-    Require(Succeeded(ParseConfiguration(ConfigurationText(*configuration))));
+    AbortUnless(
+      Succeeded(ParseConfiguration(ConfigurationText(*configuration))));
   }
 }
 
@@ -111,7 +112,7 @@
   const auto parsed =
     SettingsFile::Parse("fuzz.ini", std::string(aInput), SideSettings::Specs());
   if (const auto* failure = std::get_if<Failure>(&parsed)) {
-    Require(failure->message_.starts_with("fuzz.ini"));
+    AbortUnless(failure->message_.starts_with("fuzz.ini"));
   }
 }
 
--- a/Tests/Unit/CodecTest.cxx
+++ b/Tests/Unit/CodecTest.cxx
@@ -20,7 +20,7 @@
 
 }
 
-Test(Codec, ReadsWhatItWrote)
+Test(Codec, DecodesEncodedMessage)
 {
   const std::string frame = SampleFrame();
   const Result<WireMessage> message = DecodeFrame(frame);
@@ -34,7 +34,7 @@
 
 // Guards against crashes and allocations beyond the frame's size when a peer or
 // a faulty switch flips one bit of a frame, or when a frame is truncated.
-Test(Codec, SurvivesEveryFlippedBitAndEveryTruncation)
+Test(Codec, HandlesEveryFlippedBitAndEveryTruncation)
 {
   const std::string frame = SampleFrame();
   for (std::size_t bit = 0; bit < frame.size() * 8; ++bit) {
@@ -50,14 +50,14 @@
 // Guards against an entry that crashes on an empty datagram: its length reads
 // as 0, which equals its size, so it was accepted as complete and the decoder
 // read a huge length beyond its end. Found by the fuzz target "frame".
-Test(Codec, RefusesAnEmptyDatagram)
+Test(Codec, RejectsEmptyDatagram)
 {
   cr_assert(!Succeeded(DecodeFrame(std::string_view())));
 }
 
 // Guards against a message of nine bytes that states a string of 2^60 bytes:
 // the library would allocate that memory before checking for the bytes.
-Test(Codec, RefusesALengthBeyondTheFrame)
+Test(Codec, RejectsLengthBeyondFrame)
 {
   std::string frame = EncodeFrame(CancelMessage{ "abc" });
   const std::size_t lengthAt = kFrameHeaderBytes + 1;
@@ -66,14 +66,14 @@
   cr_assert(!Succeeded(message));
 }
 
-Test(Codec, RefusesAnotherVersion)
+Test(Codec, RejectsOtherProtocolVersion)
 {
   std::string frame = SampleFrame();
   frame[4] = 9;
   cr_assert(!Succeeded(FrameLength(frame)));
 }
 
-Test(FrameReader, CutsFramesHoweverTheyArrive)
+Test(FrameReader, SplitsFramesReceivedByteByByte)
 {
   const std::string bytes = SampleFrame() + SampleFrame();
   FrameReader reader;
--- a/Tests/Unit/HttpCallerTest.cxx
+++ b/Tests/Unit/HttpCallerTest.cxx
@@ -38,11 +38,11 @@
     cr_assert(::listen(descriptor_, 0) == 0);
     ::getsockname(descriptor_, generic, &size);
     port_ = ntohs(address.sin_port);
-    Fill();
+    FillAcceptQueue();
   }
 
   /** Ends the partition: accepts waiting and new connections. */
-  void Heal(QTcpServer& aServer)
+  void EndPartition(QTcpServer& aServer)
   {
     fillers_.clear();
     ::listen(descriptor_, 64);
@@ -53,10 +53,10 @@
 
 private:
   /** Opens connections until one is not established. */
-  void Fill()
+  void FillAcceptQueue()
   {
-    constexpr int kMost = 16;
-    for (int i = 0; i < kMost; ++i) {
+    constexpr int kMaxConnections = 16;
+    for (int i = 0; i < kMaxConnections; ++i) {
       auto socket = std::make_unique<QTcpSocket>();
       socket->connectToHost(QHostAddress::LocalHost, port_);
       const bool made = socket->waitForConnected(100);
@@ -88,7 +88,7 @@
 // When a network partition interrupted the attempt, TCP retransmits the SYN
 // only seconds later, so an entry had no table service for 4 s after the
 // partition.
-Test(HttpCaller, CallAfterACutMakesItsOwnConnection)
+Test(HttpCaller, CallAfterPartitionOpensNewConnection)
 {
   int argc = 1;
   char name[] = "test";
@@ -96,46 +96,47 @@
   const QCoreApplication application(argc, argv);
   FullListener listener;
   HttpCaller caller;
-  bool givenUp = false;
+  bool firstCallFailed = false;
   caller.Start(
     CallTo(listener.Port(), "/first", ReadMonotonicClock() + Millis(300)),
-    [&givenUp](const Result<HttpReply>& aReply) {
-      givenUp = std::holds_alternative<Failure>(aReply);
+    [&firstCallFailed](const Result<HttpReply>& aReply) {
+      firstCallFailed = std::holds_alternative<Failure>(aReply);
     });
-  cr_assert(WaitInLoop([&givenUp] { return givenUp; }));
+  cr_assert(WaitInLoop([&firstCallFailed] { return firstCallFailed; }));
 
   QTcpServer server;
-  std::vector<std::string> arrived;
+  std::vector<std::string> receivedData;
   QObject::connect(&server, &QTcpServer::newConnection, &server, [&] {
     while (QTcpSocket* socket = server.nextPendingConnection()) {
       QObject::connect(socket, &QTcpSocket::readyRead, &server, [&, socket] {
-        arrived.push_back(socket->readAll().toStdString());
+        receivedData.push_back(socket->readAll().toStdString());
       });
     }
   });
-  listener.Heal(server);
+  listener.EndPartition(server);
   caller.Start(
     CallTo(listener.Port(), "/second", ReadMonotonicClock() + Millis(20000)),
     [](const Result<HttpReply>&) {});
   // Bounds the time by other connections, one after another: a hundred of them
   // take some milliseconds, and TCP retransmits an old SYN after a second.
-  constexpr int kOthers = 100;
+  constexpr int kOtherConnections = 100;
   const auto isCall = [](const std::string& aBytes) {
     return aBytes.starts_with("GET /second");
   };
-  const auto called = [&arrived, &isCall] {
-    return std::any_of(arrived.begin(), arrived.end(), isCall);
+  const auto called = [&receivedData, &isCall] {
+    return std::any_of(receivedData.begin(), receivedData.end(), isCall);
   };
-  for (int i = 0; i < kOthers && !called(); ++i) {
-    const std::size_t before = arrived.size();
+  for (int i = 0; i < kOtherConnections && !called(); ++i) {
+    const std::size_t before = receivedData.size();
     QTcpSocket other;
     QObject::connect(&other, &QTcpSocket::connected, &other, [&other] {
       other.write("other");
     });
     other.connectToHost(QHostAddress::LocalHost, listener.Port());
-    cr_assert(
-      WaitInLoop([&arrived, before] { return arrived.size() > before; }));
+    cr_assert(WaitInLoop(
+      [&receivedData, before] { return receivedData.size() > before; }));
   }
-  cr_assert(
-    called(), "%d other connections were served before the call", kOthers);
+  cr_assert(called(),
+            "%d other connections were served before the call",
+            kOtherConnections);
 }
--- a/Tests/Unit/HttpFramingTest.cxx
+++ b/Tests/Unit/HttpFramingTest.cxx
@@ -16,7 +16,7 @@
 
 }
 
-Test(HttpFraming, FindsTheBounds)
+Test(HttpFraming, ReadsRequestBounds)
 {
   const auto read = Read("Host: x\r\ncontent-length: 12\r\n");
   cr_assert(Succeeded(read));
@@ -31,7 +31,7 @@
 // Guards against request smuggling: if a load balancer and this process
 // determine different ends of a request, one caller's bytes are taken for
 // another caller's request.
-Test(HttpFraming, RefusesWhatCouldBeCutInTwoWays)
+Test(HttpFraming, RejectsAmbiguousFraming)
 {
   for (const char* headers : { "Content-Length: 1\r\nContent-Length: 2\r\n",
                                "Content-Length: 1\r\nContent-Length: 1\r\n",
@@ -54,7 +54,7 @@
   }
 }
 
-Test(HttpFraming, RefusesOtherRequestLines)
+Test(HttpFraming, RejectsMalformedRequestLines)
 {
   for (const char* line : { "GET /\r\n\r\n",
                             "GET  / HTTP/1.1\r\n\r\n",
--- a/Tests/Unit/HttpGuardTest.cxx
+++ b/Tests/Unit/HttpGuardTest.cxx
@@ -52,7 +52,7 @@
 
 }
 
-Test(HttpGuard, CountsWhatItTurnsAway)
+Test(HttpGuard, CountsRejectedRequests)
 {
   Fixture fixture;
   const auto send = [&fixture](const std::string& aBytes) {
@@ -84,17 +84,17 @@
 
 // Guards against a crash of QHttpServer 6.4.2, which writes to a freed socket
 // when the caller disconnects before its response is written.
-Test(HttpGuard, AnswerToACallerThatHungUpIsDropped)
+Test(HttpGuard, AnswerToDisconnectedCallerIsDiscarded)
 {
   Fixture fixture;
   fixture.Connect();
   fixture.client_.write("GET / HTTP/1.1\r\n\r\n");
   fixture.Until([&] { return fixture.exchanges_.size() == 1; });
-  bool told = false;
-  fixture.exchanges_[0].OnCallerHungUp([&told] { told = true; });
+  bool notified = false;
+  fixture.exchanges_[0].OnCallerHungUp([&notified] { notified = true; });
   fixture.client_.abort();
   fixture.Until([&] { return fixture.front_->Counts().callersGone_ == 1; });
-  cr_assert(told);
+  cr_assert(notified);
   HttpAnswer answer;
   answer.body_ = std::string(100000, 'x');
   fixture.exchanges_[0].Answer(answer);
@@ -105,7 +105,7 @@
 // Guards against a shutdown that closes a connection with a partly received
 // request, whose caller then can't determine whether the request ran. The
 // request must be received completely and answered before the close.
-Test(HttpGuard, StopLetsAHalfSentRequestFinish)
+Test(HttpGuard, StopCompletesPartlyReceivedRequest)
 {
   Fixture fixture(std::chrono::seconds(20));
   fixture.Connect();
--- a/Tests/Unit/LinkSessionTest.cxx
+++ b/Tests/Unit/LinkSessionTest.cxx
@@ -69,7 +69,7 @@
 
 }
 
-Test(LinkSession, EndsWithACommonKeyExchangeFrames)
+Test(LinkSession, PeersWithCommonKeyExchangeFrames)
 {
   Pair pair(Key("a", '1'), Key("a", '1'));
   cr_assert(pair.Handshake());
@@ -82,7 +82,7 @@
             1);
 }
 
-Test(LinkSession, WithoutKeysTheLinkStandsAtOnce)
+Test(LinkSession, LinkWithoutKeysIsEstablishedImmediately)
 {
   Pair pair("", "");
   cr_assert(pair.opener_.Established() && pair.opener_.Start().empty());
@@ -92,7 +92,7 @@
 // Guards against links that fail during key rotation. Operators rotate a key
 // host by host: first each host accepts the new key, then signs with it, then
 // the old key is removed. No pair of hosts may lose its link in between.
-Test(LinkSession, AKeyChangesHostByHost)
+Test(LinkSession, KeyRotationHostByHostKeepsLinks)
 {
   const std::string oldKey = Key("a", '1');
   const std::string newKey = Key("b", '2');
@@ -107,7 +107,7 @@
 
 // Guards against work accepted from an unauthenticated peer that has no key,
 // has a different key with the right id, or sends a frame before its proof.
-Test(LinkSession, AStrangerGetsNothingThrough)
+Test(LinkSession, UnauthenticatedPeerIsRejected)
 {
   cr_assert(!Pair("", Key("a", '1')).Handshake());
   cr_assert(!Pair(Key("a", '2'), Key("a", '1')).Handshake());
@@ -123,7 +123,7 @@
 
 // Guards against replay of frames recorded on another link: the session key of
 // each link is derived from its own nonces.
-Test(LinkSession, RecordedFramesOfAnotherLinkAreRefused)
+Test(LinkSession, FramesRecordedOnAnotherLinkAreRejected)
 {
   Pair first(Key("a", '1'), Key("a", '1'));
   cr_assert(first.Handshake());
@@ -133,7 +133,7 @@
   cr_assert(MessagesOf(second.acceptor_, recorded) == -1);
 }
 
-Test(LinkSession, ARepeatedDroppedOrReflectedFrameIsRefused)
+Test(LinkSession, ReplayedDroppedOrReflectedFrameIsRejected)
 {
   for (const char* fault : { "repeat", "drop", "reflect" }) {
     Pair pair(Key("a", '1'), Key("a", '1'));
@@ -152,7 +152,7 @@
   }
 }
 
-Test(LinkSession, EveryFlippedBitOfATaggedFrameIsRefused)
+Test(LinkSession, TaggedFrameWithAnyFlippedBitIsRejected)
 {
   const std::string probe = CancelFrame("x") + std::string(kTagBytes, ' ');
   for (std::size_t bit = 0; bit < probe.size() * 8; ++bit) {
@@ -167,7 +167,7 @@
 // Guards against an attacker that redirects requests to itself by sending
 // heartbeats for a side that does not exist or by changing the address in a
 // genuine heartbeat.
-Test(DatagramSeal, OnlyTaggedDatagramsAreTaken)
+Test(DatagramSeal, UntaggedOrModifiedDatagramIsRejected)
 {
   const auto ring = Ring(Key("a", '1') + "," + Key("b", '2'));
   HeartbeatMessage heartbeat;
--- a/Tests/Unit/OperatorSignatureTest.cxx
+++ b/Tests/Unit/OperatorSignatureTest.cxx
@@ -44,14 +44,14 @@
 
 }
 
-Test(OperatorSignature, ASignedRequestIsAccepted)
+Test(OperatorSignature, SignedRequestIsAccepted)
 {
   cr_assert(Accepts(kDrain, Signed(kDrain)));
 }
 
 // Guards against an attacker on the network that modifies a signed request:
 // another method, worker, entry or body.
-Test(OperatorSignature, NothingOfTheRequestCanBeChanged)
+Test(OperatorSignature, ModifiedRequestIsRejected)
 {
   const std::string signature = Signed(kDrain);
   SignedRequest other = kDrain;
@@ -68,7 +68,7 @@
   cr_assert(!Accepts(other, signature));
 }
 
-Test(OperatorSignature, MissingForeignAndBrokenSignaturesAreRefused)
+Test(OperatorSignature, MissingForeignAndMalformedSignaturesAreRejected)
 {
   const std::string good = Signed(kDrain);
   const KeyRing foreign = Ring("ops:" + std::string(64, '2'));
@@ -84,7 +84,7 @@
 
 // Guards against replay of a recorded drain request an hour later, immediately,
 // or just before its timestamp expires.
-Test(OperatorSignature, ARecordedRequestIsRefused)
+Test(OperatorSignature, ReplayedRequestIsRejected)
 {
   const std::int64_t skew = SignatureChecker::kMaxSkewSeconds;
   cr_assert(!Accepts(kDrain, Signed(kDrain), kNow + 3600));
@@ -98,16 +98,16 @@
   }
 }
 
-Test(KeyRing, RefusesWhatCouldBeASlip)
+Test(KeyRing, RejectsMalformedKeyLists)
 {
   const std::string hex(64, 'a');
-  const std::vector<std::string> slips{
+  const std::vector<std::string> malformedTexts{
     std::string("a"), "a:",
     ":" + hex,        "a:" + hex.substr(1),
     "a:" + hex + ",", "a:" + hex + ",a:" + hex,
     "a b:" + hex,     "a:" + hex + "g"
   };
-  for (const std::string& text : slips) {
+  for (const std::string& text : malformedTexts) {
     cr_assert(!Succeeded(KeyRing::Parse(text)), "%s", text.c_str());
   }
   cr_assert(std::get<KeyRing>(KeyRing::Parse("")).Empty());
