--- a/Source/Connection/FleetMessages.h
+++ b/Source/Connection/FleetMessages.h
@@ -381,8 +381,8 @@
   /** Unknown outcome: the write may have taken effect. */
   InDoubt = 4,
   /** The entry gave up leadership, because it lacks access to the table or
-   * processor time; the recipient, which has both, takes over. Sent without a
-   * preceding question. */
+   * processor time; the recipient, which has both, takes over. Sent in reply to
+   * a notification or a hello, with id_ 0. */
   TakeOver = 5,
 };
 
--- a/Source/Connection/HttpFront.cxx
+++ b/Source/Connection/HttpFront.cxx
@@ -24,8 +24,8 @@
 namespace {
 
 constexpr int kBacklog = 512;
-/** Time within which handshakes in flight complete; the round trip to callers
- * is 3 ms. */
+/** Time within which handshakes in flight complete; the latency to callers is
+ * 3 ms. */
 constexpr Millis kHandshakeTimeout{ 250 };
 constexpr Millis kAcceptCheckInterval{ 10 };
 
--- a/Source/Connection/HttpFront.h
+++ b/Source/Connection/HttpFront.h
@@ -78,7 +78,8 @@
   std::uint16_t Port() const;
   const HttpGuardCounts& Counts() const;
 
-  /** Closes each connection after its next response; accepts new ones. */
+  /** Closes each connection after its next response; still accepts new
+   * connections. */
   void CloseAfterAnswers();
 
   /**
--- a/Source/Connection/WireMessages.h
+++ b/Source/Connection/WireMessages.h
@@ -28,7 +28,8 @@
   std::string requestId_;
   /** Unique over all entries and restarts; the side accepts each only once. */
   std::string attemptId_;
-  /** Upstream incarnation that the entry selected; any other one refuses. */
+  /** Upstream incarnation that the entry selected; the side refuses the attempt
+   * for any other. */
   std::uint64_t upstreamIncarnation_ = 0;
   std::uint64_t remainingMicros_ = 0;
   std::string tenant_;
--- a/Tests/Fleet/ReportChangeTest.cxx
+++ b/Tests/Fleet/ReportChangeTest.cxx
@@ -209,7 +209,7 @@
     fact.measure_ += 100;
   }
   const std::size_t change = EncodeFrame(encoder.Encode(report)).size();
-  cr_log_info("whole %zu bytes, change %zu bytes", whole, change);
+  cr_log_info("full report %zu bytes, change %zu bytes", whole, change);
   cr_assert_lt(4 * change, whole);
 }
 
--- a/Tests/Unit/CodecTest.cxx
+++ b/Tests/Unit/CodecTest.cxx
@@ -34,6 +34,7 @@
 
 // Guards against crashes and allocations beyond the frame's size when a peer or
 // a faulty switch flips one bit of a frame, or when a frame is truncated.
+// Decoding must return a message or a Failure.
 Test(Codec, HandlesEveryFlippedBitAndEveryTruncation)
 {
   const std::string frame = SampleFrame();
--- a/Tests/Unit/LinkSessionTest.cxx
+++ b/Tests/Unit/LinkSessionTest.cxx
@@ -121,8 +121,9 @@
             -1);
 }
 
-// Guards against replay of frames recorded on another link: the session key of
-// each link is derived from its own nonces.
+// Guards against a peer that returns the opener's own proof or replays frames
+// recorded on another link: the session key of each link is derived from its
+// own nonces.
 Test(LinkSession, FramesRecordedOnAnotherLinkAreRejected)
 {
   Pair first(Key("a", '1'), Key("a", '1'));
