--- a/Source/Connection/HttpFront.cxx
+++ b/Source/Connection/HttpFront.cxx
@@ -24,9 +24,10 @@
 namespace {
 
 constexpr int kBacklog = 512;
-/** Handshakes that had begun end within this long; callers are 3 ms away. */
-constexpr Millis kHandshakeGrace{ 250 };
-constexpr Millis kAcceptCheck{ 10 };
+/** Time within which handshakes in flight complete; the latency to callers is
+ * 3 ms. */
+constexpr Millis kHandshakeTimeout{ 250 };
+constexpr Millis kAcceptCheckInterval{ 10 };
 
 std::string_view
 MethodText(QHttpServerRequest::Method aMethod)
@@ -52,7 +53,7 @@
 }
 
 bool
-SameName(std::string_view aFirst, std::string_view aSecond)
+EqualHeaderNames(std::string_view aFirst, std::string_view aSecond)
 {
   return std::equal(aFirst.begin(),
                     aFirst.end(),
@@ -63,7 +64,7 @@
                     });
 }
 
-/** Takes accepted descriptors as guarded sockets. */
+/** Wraps accepted descriptors in guarded sockets. */
 class GuardedServer : public QTcpServer
 {
 public:
@@ -84,7 +85,7 @@
   }
 
 protected:
-  // NOLINTNEXTLINE(readability-identifier-naming): Qt names it so.
+  // NOLINTNEXTLINE(readability-identifier-naming): name defined by Qt.
   void incomingConnection(qintptr aDescriptor) override
   {
     auto* socket = new GuardedSocket(aDescriptor, limits_, counts_, this);
@@ -106,8 +107,8 @@
 };
 
 /**
- * A listening descriptor whose port other threads of this process may share
- * (SO_REUSEPORT), or -1.
+ * Returns a listening descriptor whose port other threads of this process may
+ * share (SO_REUSEPORT), or -1 on failure.
  */
 int
 ListenShared(const QHostAddress& aAddress, std::uint16_t aPort)
@@ -135,29 +136,30 @@
 /**
  * Drops further connection requests (SYN) at a listening socket.
  *
- * Closing a listening socket resets the connections that wait in its accept
- * queue, and callers that had already sent a request on one see it cut off.
- * With SYNs dropped no new one can enter the queue, so it is empty for good
- * once the handshakes under way have ended. A caller whose SYN was dropped has
- * sent nothing; its next try is refused or goes elsewhere.
+ * Closing a listening socket resets the connections in its accept queue, and
+ * callers that have already sent a request on one of them lose it. With SYNs
+ * dropped no new connection enters the queue, so the queue stays empty once the
+ * handshakes in flight have completed. A caller whose SYN was dropped has sent
+ * no request; its next attempt is refused or reaches another process.
  */
 void
-RefuseHandshakes(int aDescriptor)
+DropConnectionRequests(int aDescriptor)
 {
   constexpr std::uint32_t kFlagsOffset = 13;
   constexpr std::uint32_t kSynAndAck = 0x12;
   constexpr std::uint32_t kSyn = 0x02;
-  constexpr std::uint32_t kKeepAll = 0xffffffff;
+  constexpr std::uint32_t kWholePacket = 0xffffffff;
   std::array<sock_filter, 5> program{ {
     BPF_STMT(BPF_LD | BPF_B | BPF_ABS, kFlagsOffset),
     BPF_STMT(BPF_ALU | BPF_AND | BPF_K, kSynAndAck),
     BPF_JUMP(BPF_JMP | BPF_JEQ | BPF_K, kSyn, 0, 1),
     BPF_STMT(BPF_RET | BPF_K, 0),
-    BPF_STMT(BPF_RET | BPF_K, kKeepAll),
+    BPF_STMT(BPF_RET | BPF_K, kWholePacket),
   } };
   const sock_fprog filter{ program.size(), program.data() };
-  // Without the filter the accept queue is still drained before the close; a
-  // connection made in the last instant can then be lost.
+  // If the filter can't be attached, the accept queue is still drained before
+  // the socket is closed, but a connection established between the two steps
+  // may be lost.
   ::setsockopt(
     aDescriptor, SOL_SOCKET, SO_ATTACH_FILTER, &filter, sizeof(filter));
 }
@@ -185,7 +187,7 @@
     HttpAnswer answer;
     answer.status_ = 500;
     answer.body_ = "{\"verdict\":\"may have run\",\"message\":\"The request "
-                   "was dropped inside this process.\"}\n";
+                   "was dropped by this process without a response.\"}\n";
     Write(answer);
   }
 
@@ -221,14 +223,15 @@
                          QByteArray::fromStdString(aAnswer.contentType_));
   responder_.writeHeader("Content-Length",
                          QByteArray::number(aAnswer.body_.size()));
-  if (socket_->AnswersLast()) {
+  if (socket_->IsNextAnswerLast()) {
     responder_.writeHeader("Connection", "close");
   }
   for (const auto& [name, value] : aAnswer.headers_) {
     responder_.writeHeader(QByteArray::fromStdString(name),
                            QByteArray::fromStdString(value));
   }
-  // The body ends the head; a HEAD request gets the head alone.
+  // Writing the body also ends the header section, so that a HEAD request
+  // writes an empty body.
   const bool headOnly = method_ == "HEAD";
   responder_.writeBody(aAnswer.body_.data(),
                        headOnly ? 0
@@ -270,7 +273,7 @@
 HttpExchange::Header(std::string_view aName) const
 {
   for (const auto& [name, value] : private_->headers_) {
-    if (SameName(name, aName)) {
+    if (EqualHeaderNames(name, aName)) {
       return value;
     }
   }
@@ -325,7 +328,7 @@
   Handler handler_;
 
 protected:
-  // NOLINTBEGIN(readability-identifier-naming): Qt names them so.
+  // NOLINTBEGIN(readability-identifier-naming): names defined by Qt.
   bool handleRequest(const QHttpServerRequest& aRequest,
                      QTcpSocket* aSocket) override;
   void missingHandler(const QHttpServerRequest& aRequest,
@@ -366,7 +369,8 @@
 HttpFront::Private::CloseOnceAccepted()
 {
   if (HasPendingConnection(static_cast<int>(server_.socketDescriptor()))) {
-    QTimer::singleShot(kAcceptCheck, this, [this] { CloseOnceAccepted(); });
+    QTimer::singleShot(
+      kAcceptCheckInterval, this, [this] { CloseOnceAccepted(); });
     return;
   }
   server_.close();
@@ -389,18 +393,22 @@
                   const HttpLimits& aLimits,
                   Handler aHandler)
 {
-  const std::string place = std::string(aAddress) + ":" + std::to_string(aPort);
+  const std::string endpoint =
+    std::string(aAddress) + ":" + std::to_string(aPort);
   const QHostAddress address(QString::fromStdString(std::string(aAddress)));
   if (address.protocol() != QAbstractSocket::IPv4Protocol) {
     return NotRun(FailureKind::BadInput,
-                  "Can't listen on " + place + ": it is not an IPv4 number.");
+                  "Can't listen on " + endpoint +
+                    ": the address is not a numeric IPv4 address.");
   }
   auto self = std::make_unique<Private>(aLimits, std::move(aHandler));
   const int descriptor = ListenShared(address, aPort);
   if (descriptor < 0 || !self->server_.setSocketDescriptor(descriptor)) {
-    return NotRun(FailureKind::Unreachable,
-                  "Can't listen on " + place +
-                    ": the address is not of this host or the port is taken.");
+    return NotRun(
+      FailureKind::Unreachable,
+      "Can't listen on " + endpoint +
+        ": the address does not belong to this host or the port is in "
+        "use.");
   }
   self->bind(&self->server_);
   return std::unique_ptr<HttpFront>(new HttpFront(std::move(self)));
@@ -422,10 +430,11 @@
 HttpFront::StopListening()
 {
   CloseAfterAnswers();
-  RefuseHandshakes(static_cast<int>(private_->server_.socketDescriptor()));
+  DropConnectionRequests(
+    static_cast<int>(private_->server_.socketDescriptor()));
   Private* self = private_.get();
   QTimer::singleShot(
-    kHandshakeGrace, self, [self] { self->CloseOnceAccepted(); });
+    kHandshakeTimeout, self, [self] { self->CloseOnceAccepted(); });
 }
 
 void
--- a/Source/Connection/TableClient.cxx
+++ b/Source/Connection/TableClient.cxx
@@ -16,10 +16,10 @@
 constexpr int kNotFound = 404;
 constexpr int kConflict = 409;
 
-/** Counts a call that has ended, and hands its result on. */
+/** Counts a completed call and returns its result. */
 template<typename Value>
 Result<Value>
-Counted(Result<Value> aResult)
+CountCall(Result<Value> aResult)
 {
   Metrics& metrics = Metrics::OfProcess();
   metrics.Count(Counter::TableCalls);
@@ -39,7 +39,7 @@
 {
   return Failure{ FailureKind::Unreachable,
                   Verdict::MayHaveRun,
-                  "The table service answered with status " +
+                  "The table service answered with the unexpected status " +
                     std::to_string(aReply.status_) + ".",
                   Millis(0) };
 }
@@ -56,7 +56,7 @@
   }
   Result<TableOutcome> outcome = FromJson<TableOutcome>(reply.body_);
   if (auto* failure = std::get_if<Failure>(&outcome)) {
-    // The answer is unreadable, but the write may have taken effect.
+    // The response can't be decoded, but the write may have taken effect.
     failure->verdict_ = Verdict::MayHaveRun;
   }
   return outcome;
@@ -120,7 +120,7 @@
   private_->caller_.Start(
     std::move(call),
     [callback = std::move(aCallback)](const Result<HttpReply>& aReply) {
-      callback(Counted(ReadOutcome(aReply)));
+      callback(CountCall(ReadOutcome(aReply)));
     });
 }
 
@@ -138,7 +138,7 @@
   private_->caller_.Start(
     std::move(call),
     [callback = std::move(aCallback)](const Result<HttpReply>& aReply) {
-      callback(Counted(ReadRows(aReply)));
+      callback(CountCall(ReadRows(aReply)));
     });
 }
 
--- a/Tests/Fuzz/FuzzTargets.cxx
+++ b/Tests/Fuzz/FuzzTargets.cxx
@@ -17,11 +17,11 @@
 
 namespace {
 
-/** Ends the program at a broken invariant, so that any driver notices. */
+/** Aborts if an invariant is violated, so that any fuzz driver detects it. */
 void
-Require(bool aHolds)
+AbortUnless(bool aCondition)
 {
-  if (!aHolds) {
+  if (!aCondition) {
     std::abort();
   }
 }
@@ -34,10 +34,10 @@
   if (message == nullptr) {
     return;
   }
-  // What was taken must be the same message when it is sent on.
+  // Re-encoding a decoded message must reproduce the input.
   const std::string again = EncodeFrame(*message);
-  Require(Succeeded(DecodeFrame(again)));
-  Require(again == aInput);
+  AbortUnless(Succeeded(DecodeFrame(again)));
+  AbortUnless(again == aInput);
 }
 
 FleetReport
@@ -66,8 +66,8 @@
   decoder.Take(SideReport());
   if (const auto report = decoder.Take(*change)) {
     const std::size_t known = SideReport().runs_.size();
-    Require(report->runs_.size() + change->removed_.size() ==
-            known + change->added_.size());
+    AbortUnless(report->runs_.size() + change->removed_.size() ==
+                known + change->added_.size());
   }
 }
 
@@ -75,15 +75,15 @@
 RunReader(std::string_view aInput)
 {
   FrameReader whole;
-  const auto atOnce = whole.Take(aInput);
+  const auto unsplitResult = whole.Take(aInput);
   FrameReader halves;
   const std::size_t half = aInput.size() / 2;
   const auto first = halves.Take(aInput.substr(0, half));
   const bool firstFailed = !Succeeded(first);
   const bool failed =
     firstFailed || !Succeeded(halves.Take(aInput.substr(half)));
-  // However the bytes are cut, the stream is good or bad.
-  Require(failed == !Succeeded(atOnce));
+  // The validity of a stream must not depend on how it is split.
+  AbortUnless(failed == !Succeeded(unsplitResult));
 }
 
 void
@@ -91,7 +91,7 @@
 {
   const Result<HttpRequestBounds> bounds = ReadHttpBounds(aInput);
   if (const auto* read = std::get_if<HttpRequestBounds>(&bounds)) {
-    Require(read->headBytes_ == aInput.size());
+    AbortUnless(read->headBytes_ == aInput.size());
   }
 }
 
@@ -101,7 +101,8 @@
   const Result<Configuration> parsed = ParseConfiguration(aInput);
   const auto* configuration = std::get_if<Configuration>(&parsed);
   if (configuration != nullptr) {
-    Require(Succeeded(ParseConfiguration(ConfigurationText(*configuration))));
+    AbortUnless(
+      Succeeded(ParseConfiguration(ConfigurationText(*configuration))));
   }
 }
 
@@ -111,7 +112,7 @@
   const auto parsed =
     SettingsFile::Parse("fuzz.ini", std::string(aInput), SideSettings::Specs());
   if (const auto* failure = std::get_if<Failure>(&parsed)) {
-    Require(failure->message_.starts_with("fuzz.ini"));
+    AbortUnless(failure->message_.starts_with("fuzz.ini"));
   }
 }
 
--- a/Tests/Unit/CodecTest.cxx
+++ b/Tests/Unit/CodecTest.cxx
@@ -20,7 +20,7 @@
 
 }
 
-Test(Codec, ReadsWhatItWrote)
+Test(Codec, DecodesEncodedMessage)
 {
   const std::string frame = SampleFrame();
   const Result<WireMessage> message = DecodeFrame(frame);
@@ -32,10 +32,10 @@
   cr_assert(dispatch.body_ == "lot 7");
 }
 
-// A peer (or a broken switch) flips one bit of a frame, or the frame arrives
-// short. Whatever the bit, decoding must end in a message or a Failure, take no
-// memory beyond the frame's size, and never crash.
-Test(Codec, SurvivesEveryFlippedBitAndEveryTruncation)
+// Guards against crashes and allocations beyond the frame's size when a peer or
+// a faulty switch flips one bit of a frame, or when a frame is truncated.
+// Decoding must return a message or a Failure.
+Test(Codec, HandlesEveryFlippedBitAndEveryTruncation)
 {
   const std::string frame = SampleFrame();
   for (std::size_t bit = 0; bit < frame.size() * 8; ++bit) {
@@ -48,18 +48,17 @@
   }
 }
 
-// Anyone sends an entry a datagram without any bytes. Its stated length, 0, is
-// equal to its size, so it passed as whole, and reading beyond it took an
-// absurd length from other memory: the entry died. Found by the fuzz target
-// "frame".
-Test(Codec, RefusesAnEmptyDatagram)
+// Guards against an entry that crashes on an empty datagram: its length reads
+// as 0, which equals its size, so it was accepted as complete and the decoder
+// read a huge length beyond its end. Found by the fuzz target "frame".
+Test(Codec, RejectsEmptyDatagram)
 {
   cr_assert(!Succeeded(DecodeFrame(std::string_view())));
 }
 
-// Nine hostile bytes state a string of 2^60 bytes. The library would try to
-// take that memory before looking for the bytes.
-Test(Codec, RefusesALengthBeyondTheFrame)
+// Guards against a message of nine bytes that states a string of 2^60 bytes:
+// the library would allocate that memory before checking for the bytes.
+Test(Codec, RejectsLengthBeyondFrame)
 {
   std::string frame = EncodeFrame(CancelMessage{ "abc" });
   const std::size_t lengthAt = kFrameHeaderBytes + 1;
@@ -68,14 +67,14 @@
   cr_assert(!Succeeded(message));
 }
 
-Test(Codec, RefusesAnotherVersion)
+Test(Codec, RejectsOtherProtocolVersion)
 {
   std::string frame = SampleFrame();
   frame[4] = 9;
   cr_assert(!Succeeded(FrameLength(frame)));
 }
 
-Test(FrameReader, CutsFramesHoweverTheyArrive)
+Test(FrameReader, SplitsFramesReceivedByteByByte)
 {
   const std::string bytes = SampleFrame() + SampleFrame();
   FrameReader reader;
--- a/Tests/Unit/HttpCallerTest.cxx
+++ b/Tests/Unit/HttpCallerTest.cxx
@@ -20,8 +20,8 @@
 namespace {
 
 /**
- * A listening socket whose queue of new connections is full, so that the kernel
- * drops the first packet of each further one: a cut, as a caller sees it.
+ * A listening socket whose accept queue is full, so that the kernel drops the
+ * SYN of each further connection. Simulates a network partition to a caller.
  */
 class FullListener
 {
@@ -38,11 +38,11 @@
     cr_assert(::listen(descriptor_, 0) == 0);
     ::getsockname(descriptor_, generic, &size);
     port_ = ntohs(address.sin_port);
-    Fill();
+    FillAcceptQueue();
   }
 
-  /** The cut is over: what waits is accepted, and what comes from then on. */
-  void Heal(QTcpServer& aServer)
+  /** Ends the partition: accepts waiting and new connections. */
+  void EndPartition(QTcpServer& aServer)
   {
     fillers_.clear();
     ::listen(descriptor_, 64);
@@ -52,11 +52,11 @@
   std::uint16_t Port() const { return port_; }
 
 private:
-  /** Connects until a connection is not made any more. */
-  void Fill()
+  /** Opens connections until one is not established. */
+  void FillAcceptQueue()
   {
-    constexpr int kMost = 16;
-    for (int i = 0; i < kMost; ++i) {
+    constexpr int kMaxConnections = 16;
+    for (int i = 0; i < kMaxConnections; ++i) {
       auto socket = std::make_unique<QTcpSocket>();
       socket->connectToHost(QHostAddress::LocalHost, port_);
       const bool made = socket->waitForConnected(100);
@@ -84,11 +84,11 @@
 
 }
 
-// The table is cut off while an entry connects to it. The call is given up, the
-// cut heals, the entry asks again; the library handed it the connection that
-// was still being made, which TCP tries again only seconds later: the entry was
-// without its table for 4 s more. A connection of its own is made at once.
-Test(HttpCaller, CallAfterACutMakesItsOwnConnection)
+// Guards against a call that reuses a connection attempt of an aborted call.
+// When a network partition interrupted the attempt, TCP retransmits the SYN
+// only seconds later, so an entry had no table service for 4 s after the
+// partition.
+Test(HttpCaller, CallAfterPartitionOpensNewConnection)
 {
   int argc = 1;
   char name[] = "test";
@@ -96,45 +96,47 @@
   const QCoreApplication application(argc, argv);
   FullListener listener;
   HttpCaller caller;
-  bool givenUp = false;
+  bool firstCallFailed = false;
   caller.Start(
     CallTo(listener.Port(), "/first", ReadMonotonicClock() + Millis(300)),
-    [&givenUp](const Result<HttpReply>& aReply) {
-      givenUp = std::holds_alternative<Failure>(aReply);
+    [&firstCallFailed](const Result<HttpReply>& aReply) {
+      firstCallFailed = std::holds_alternative<Failure>(aReply);
     });
-  cr_assert(WaitInLoop([&givenUp] { return givenUp; }));
+  cr_assert(WaitInLoop([&firstCallFailed] { return firstCallFailed; }));
 
   QTcpServer server;
-  std::vector<std::string> arrived;
+  std::vector<std::string> receivedData;
   QObject::connect(&server, &QTcpServer::newConnection, &server, [&] {
     while (QTcpSocket* socket = server.nextPendingConnection()) {
       QObject::connect(socket, &QTcpSocket::readyRead, &server, [&, socket] {
-        arrived.push_back(socket->readAll().toStdString());
+        receivedData.push_back(socket->readAll().toStdString());
       });
     }
   });
-  listener.Heal(server);
+  listener.EndPartition(server);
   caller.Start(
     CallTo(listener.Port(), "/second", ReadMonotonicClock() + Millis(20000)),
     [](const Result<HttpReply>&) {});
-  // Others connect and are heard, one after another: a hundred of them take
-  // some milliseconds, and TCP tries an old connection again after a second.
-  constexpr int kOthers = 100;
+  // Bounds the time by other connections, one after another: a hundred of them
+  // take some milliseconds, and TCP retransmits an old SYN after a second.
+  constexpr int kOtherConnections = 100;
   const auto isCall = [](const std::string& aBytes) {
     return aBytes.starts_with("GET /second");
   };
-  const auto called = [&arrived, &isCall] {
-    return std::any_of(arrived.begin(), arrived.end(), isCall);
+  const auto called = [&receivedData, &isCall] {
+    return std::any_of(receivedData.begin(), receivedData.end(), isCall);
   };
-  for (int i = 0; i < kOthers && !called(); ++i) {
-    const std::size_t before = arrived.size();
+  for (int i = 0; i < kOtherConnections && !called(); ++i) {
+    const std::size_t before = receivedData.size();
     QTcpSocket other;
     QObject::connect(&other, &QTcpSocket::connected, &other, [&other] {
       other.write("other");
     });
     other.connectToHost(QHostAddress::LocalHost, listener.Port());
-    cr_assert(
-      WaitInLoop([&arrived, before] { return arrived.size() > before; }));
+    cr_assert(WaitInLoop(
+      [&receivedData, before] { return receivedData.size() > before; }));
   }
-  cr_assert(called(), "%d others were heard before it", kOthers);
+  cr_assert(called(),
+            "%d other connections were served before the call",
+            kOtherConnections);
 }
--- a/Tests/Unit/HttpGuardTest.cxx
+++ b/Tests/Unit/HttpGuardTest.cxx
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** A front in this process, with small limits, and one client of it. */
+/** An HttpFront in this process, with small limits, and one client. */
 class Fixture
 {
 public:
@@ -35,7 +35,8 @@
   {
     const Instant bound = ReadMonotonicClock() + std::chrono::seconds(20);
     while (!aCondition()) {
-      cr_assert(ReadMonotonicClock() < bound, "waited in vain");
+      cr_assert(ReadMonotonicClock() < bound,
+                "The condition was not met within 20 s.");
       QCoreApplication::processEvents(QEventLoop::AllEvents, 10);
     }
   }
@@ -51,7 +52,7 @@
 
 }
 
-Test(HttpGuard, CountsWhatItTurnsAway)
+Test(HttpGuard, CountsRejectedRequests)
 {
   Fixture fixture;
   const auto send = [&fixture](const std::string& aBytes) {
@@ -77,22 +78,23 @@
   cr_assert(counts.headTooLarge_ == 2);
   cr_assert(counts.bodyTooLarge_ == 1);
   cr_assert(counts.tooSlow_ == 1);
-  cr_assert(fixture.exchanges_.empty(), "The library saw bad input.");
+  cr_assert(fixture.exchanges_.empty(),
+            "The library received malformed input.");
 }
 
-// The caller is gone when its answer is written. QHttpServer 6.4.2 then writes
-// to a freed socket and the whole process dies.
-Test(HttpGuard, AnswerToACallerThatHungUpIsDropped)
+// Guards against a crash of QHttpServer 6.4.2, which writes to a freed socket
+// when the caller disconnects before its response is written.
+Test(HttpGuard, AnswerToDisconnectedCallerIsDiscarded)
 {
   Fixture fixture;
   fixture.Connect();
   fixture.client_.write("GET / HTTP/1.1\r\n\r\n");
   fixture.Until([&] { return fixture.exchanges_.size() == 1; });
-  bool told = false;
-  fixture.exchanges_[0].OnCallerHungUp([&told] { told = true; });
+  bool notified = false;
+  fixture.exchanges_[0].OnCallerHungUp([&notified] { notified = true; });
   fixture.client_.abort();
   fixture.Until([&] { return fixture.front_->Counts().callersGone_ == 1; });
-  cr_assert(told);
+  cr_assert(notified);
   HttpAnswer answer;
   answer.body_ = std::string(100000, 'x');
   fixture.exchanges_[0].Answer(answer);
@@ -100,10 +102,10 @@
   fixture.Until([&] { return fixture.front_->Unanswered() == 0; });
 }
 
-// A stop must not cut off a request that has partly arrived: its caller can't
-// know whether it ran. It is received whole, answered, and only then is the
-// connection closed.
-Test(HttpGuard, StopLetsAHalfSentRequestFinish)
+// Guards against a shutdown that closes a connection with a partly received
+// request, whose caller then can't determine whether the request ran. The
+// request must be received completely and answered before the close.
+Test(HttpGuard, StopCompletesPartlyReceivedRequest)
 {
   Fixture fixture(std::chrono::seconds(20));
   fixture.Connect();
--- a/Tests/Unit/LinkSessionTest.cxx
+++ b/Tests/Unit/LinkSessionTest.cxx
@@ -20,7 +20,7 @@
   return aId + ":" + std::string(64, aDigit);
 }
 
-/** Both ends of one link, with nothing between them. */
+/** Both ends of one link, connected without a network. */
 struct Pair
 {
   Pair(const std::string& aOpenerKeys, const std::string& aAcceptorKeys)
@@ -29,7 +29,7 @@
   {
   }
 
-  /** Runs the handshake; false as soon as one end refuses. */
+  /** Runs the handshake; returns false as soon as one end fails. */
   bool Handshake()
   {
     std::string toAcceptor = opener_.Start();
@@ -58,7 +58,7 @@
   return EncodeFrame(CancelMessage{ aAttempt });
 }
 
-/** What an acceptor makes of some bytes: the messages, or -1 if it refuses. */
+/** Returns the number of messages that a session decodes, or -1 if it fails. */
 int
 MessagesOf(LinkSession& aSession, const std::string& aBytes)
 {
@@ -69,7 +69,7 @@
 
 }
 
-Test(LinkSession, EndsWithACommonKeyExchangeFrames)
+Test(LinkSession, PeersWithCommonKeyExchangeFrames)
 {
   Pair pair(Key("a", '1'), Key("a", '1'));
   cr_assert(pair.Handshake());
@@ -82,17 +82,17 @@
             1);
 }
 
-Test(LinkSession, WithoutKeysTheLinkStandsAtOnce)
+Test(LinkSession, LinkWithoutKeysIsEstablishedImmediately)
 {
   Pair pair("", "");
   cr_assert(pair.opener_.Established() && pair.opener_.Start().empty());
   cr_assert(MessagesOf(pair.acceptor_, CancelFrame("x")) == 1);
 }
 
-// Operators change the key host by host: first every host learns the new one,
-// then it signs, then the old one goes. No pair of hosts may lose its link in
-// between.
-Test(LinkSession, AKeyChangesHostByHost)
+// Guards against links that fail during key rotation. Operators rotate a key
+// host by host: first each host accepts the new key, then signs with it, then
+// the old key is removed. No pair of hosts may lose its link in between.
+Test(LinkSession, KeyRotationHostByHostKeepsLinks)
 {
   const std::string oldKey = Key("a", '1');
   const std::string newKey = Key("b", '2');
@@ -105,9 +105,9 @@
   }
 }
 
-// Somebody who can reach a side's port sends it work, with no key, with
-// another key under the right id, or with a frame before any proof.
-Test(LinkSession, AStrangerGetsNothingThrough)
+// Guards against work accepted from an unauthenticated peer that has no key,
+// has a different key with the right id, or sends a frame before its proof.
+Test(LinkSession, UnauthenticatedPeerIsRejected)
 {
   cr_assert(!Pair("", Key("a", '1')).Handshake());
   cr_assert(!Pair(Key("a", '2'), Key("a", '1')).Handshake());
@@ -121,9 +121,10 @@
             -1);
 }
 
-// A stranger answers our hello with our own proof, or replays what he recorded
-// from another link: each link has nonces of its own.
-Test(LinkSession, RecordedFramesOfAnotherLinkAreRefused)
+// Guards against a peer that returns the opener's own proof or replays frames
+// recorded on another link: the session key of each link is derived from its
+// own nonces.
+Test(LinkSession, FramesRecordedOnAnotherLinkAreRejected)
 {
   Pair first(Key("a", '1'), Key("a", '1'));
   cr_assert(first.Handshake());
@@ -133,7 +134,7 @@
   cr_assert(MessagesOf(second.acceptor_, recorded) == -1);
 }
 
-Test(LinkSession, ARepeatedDroppedOrReflectedFrameIsRefused)
+Test(LinkSession, ReplayedDroppedOrReflectedFrameIsRejected)
 {
   for (const char* fault : { "repeat", "drop", "reflect" }) {
     Pair pair(Key("a", '1'), Key("a", '1'));
@@ -152,7 +153,7 @@
   }
 }
 
-Test(LinkSession, EveryFlippedBitOfATaggedFrameIsRefused)
+Test(LinkSession, TaggedFrameWithAnyFlippedBitIsRejected)
 {
   const std::string probe = CancelFrame("x") + std::string(kTagBytes, ' ');
   for (std::size_t bit = 0; bit < probe.size() * 8; ++bit) {
@@ -164,9 +165,10 @@
   }
 }
 
-// A stranger sends heartbeats for a side that does not exist, or changes the
-// address in a true one, and requests go to him.
-Test(DatagramSeal, OnlyTaggedDatagramsAreTaken)
+// Guards against an attacker that redirects requests to itself by sending
+// heartbeats for a side that does not exist or by changing the address in a
+// genuine heartbeat.
+Test(DatagramSeal, UntaggedOrModifiedDatagramIsRejected)
 {
   const auto ring = Ring(Key("a", '1') + "," + Key("b", '2'));
   HeartbeatMessage heartbeat;
