--- a/Source/Process/Journal.cxx
+++ b/Source/Process/Journal.cxx
@@ -32,8 +32,8 @@
   aStep.host_ = host_;
   Shard& shard = ShardOf(aStep.requestId_);
   const std::lock_guard lock(shard.mutex_);
-  // Stamped under the lock: after TakeNew() of a time, no step from before it
-  // can come.
+  // Read the clock under the lock: after TakeNew(time), no step from before
+  // that time can be added.
   aStep.wallMicros_ = ReadWallClock();
   if (keepNew_ && shard.new_.size() < kMaxNew) {
     shard.new_.push_back(aStep);
@@ -46,8 +46,8 @@
       shard.order_.pop_front();
     }
   }
-  // A single request can't fill the memory: retries are bounded, but a
-  // duplicating network is not.
+  // Limit the memory of one request: retries are bounded, but duplicates from
+  // the network are not.
   if (place->second.size() < kMaxSteps) {
     place->second.push_back(std::move(aStep));
   }
--- a/Source/Process/Journal.h
+++ b/Source/Process/Journal.h
@@ -15,27 +15,29 @@
 namespace cactusrail {
 
 /**
- * The steps that this process saw of the latest requests, for explain. Bounded:
- * the oldest request goes first. Sharded by request; safe from any thread.
+ * Stores the steps that this process recorded of the latest requests, for the
+ * explain command. The number of requests is bounded; the oldest request is
+ * evicted first. Sharded by request id. Thread-safe.
  */
 class Journal
 {
 public:
   explicit Journal(std::string aHost, std::size_t aMaxRequests);
 
-  /** Adds a step, stamped with this host's name and wall clock. */
+  /** Adds a step and sets its host name and wall-clock time. */
   void Add(RequestStep aStep);
 
-  /** How many requests it holds steps of. */
+  /** Returns the number of requests that have steps in the journal. */
   std::size_t Size() const;
 
-  /** From now on steps are kept for TakeNew(), within a bound. */
+  /** Starts to collect new steps for TakeNew(), up to kMaxNew per shard. */
   void KeepNew();
 
-  /** The steps from before a wall-clock time that were not taken yet. */
+  /** Removes and returns the collected steps from before a wall-clock time in
+   * microseconds. */
   std::vector<RequestStep> TakeNew(std::int64_t aBeforeWallMicros);
 
-  /** Steps that were not taken yet. */
+  /** Returns the number of collected steps that TakeNew() has not returned. */
   std::size_t NewSteps() const;
 
   std::vector<RequestStep> Recall(std::string_view aRequestId) const;
@@ -50,9 +52,10 @@
   };
 
   static constexpr std::size_t kShards = 16;
-  /** Steps of a shard that wait for TakeNew(); the rest are not kept. */
+  /** Maximum number of steps per shard that wait for TakeNew(); TakeNew() does
+   * not return further steps. */
   static constexpr std::size_t kMaxNew = 8192;
-  /** A request's later steps beyond this are dropped. */
+  /** Maximum number of steps per request; later steps are dropped. */
   static constexpr std::size_t kMaxSteps = 64;
 
   Shard& ShardOf(std::string_view aRequestId);
--- a/Source/Process/JournalStore.cxx
+++ b/Source/Process/JournalStore.cxx
@@ -58,10 +58,10 @@
   TableClient& store_;
   SegmentPlan plan_;
   std::uint64_t firstSlot_;
-  /** The slot being filled; earlier ones have been collected. */
+  /** Current slot; the steps of earlier slots have been collected. */
   std::uint64_t openSlot_ = 0;
   std::deque<Segment> waiting_;
-  /** The one that was written last. */
+  /** Segment that was written last. */
   Segment written_;
   std::size_t waitingBytes_ = 0;
   bool writing_ = false;
@@ -70,7 +70,7 @@
   JournalStoreCounts counts_;
 };
 
-/** Takes the steps from before a time, into the segments of their slots. */
+/** Moves the steps from before a time into the segments of their slots. */
 void
 JournalStore::Private::Collect(std::int64_t aBeforeWallMicros)
 {
@@ -83,8 +83,9 @@
   for (const auto& [slot, steps] : bySlot) {
     Append(slot, steps);
   }
-  // A store that is down for hours would fill the memory. The oldest go: live
-  // processes remember those best.
+  // Limit the memory while the store is down for hours. Drop the oldest
+  // segments, because running processes are the most likely to have their
+  // steps in memory.
   while (waitingBytes_ > kMaxWaitingBytes && waiting_.size() > 1) {
     const auto oldest = waiting_.begin() + (writing_ ? 1 : 0);
     counts_.droppedSteps_ += oldest->steps_;
@@ -105,8 +106,8 @@
     waiting_.back().steps_ += aSteps.size();
     return;
   }
-  // An object is replaced whole: steps that come late to a slot that is being
-  // written, or was, must not take the place of its earlier ones.
+  // A write replaces the whole object. Prepend the earlier steps of a slot that
+  // is being written or was written, so that late steps do not replace them.
   if (!waiting_.empty() && waiting_.back().slot_ == aSlot) {
     text.insert(0, waiting_.back().text_);
   } else if (written_.slot_ == aSlot) {
@@ -152,7 +153,7 @@
 JournalStore::Private::Put(const std::string& aEarlier)
 {
   const Segment& segment = waiting_.front();
-  // Written again after a lost answer, the object is the same: no harm.
+  // A retry after a lost response is safe, because it writes the same object.
   store_.PutObject(plan_.name_(segment.slot_),
                    aEarlier + segment.text_,
                    ReadMonotonicClock() + kStoreTimeout,
--- a/Source/Process/JournalStore.h
+++ b/Source/Process/JournalStore.h
@@ -13,31 +13,33 @@
 class Journal;
 class TableClient;
 
-/** Which slots a host's steps are grouped in, and how their objects are named.
- */
+/** Time slots into which a host's steps are grouped, and the names of their
+ * objects. */
 struct SegmentPlan
 {
-  /** Wall-clock microseconds at which slot 0 begins. */
+  /** Wall-clock time in microseconds at which slot 0 begins. */
   std::uint64_t startMicros_ = 0;
   Millis slotLength_{ 0 };
   std::function<std::string(std::uint64_t)> name_;
-  /** The first slot may hold the steps of an earlier start: keep them. */
+  /** Whether to merge the first slot with its stored object, which may hold
+   * steps of an earlier start of the process. */
   bool mergesFirst_ = false;
 };
 
-/** Counts since the process began. */
+/** Counters since the process started. */
 struct JournalStoreCounts
 {
   std::uint64_t written_ = 0;
   std::uint64_t failed_ = 0;
-  /** Steps that were never stored, because the store was down for too long. */
+  /** Number of steps dropped because the store was down for too long. */
   std::uint64_t droppedSteps_ = 0;
 };
 
 /**
- * Writes the steps of a journal to the platform's object store, one object a
- * slot of time, so that explain outlives the host. While the store is down the
- * latest segments wait, within a bound. Owned by a process, in its thread.
+ * Writes the steps of a journal to the platform's object store, one object per
+ * time slot, so that explain works after the host is gone. While the store is
+ * down, the latest segments are buffered, up to kMaxWaitingBytes. Owned by a
+ * process, used in its thread.
  */
 class JournalStore
 {
@@ -47,10 +49,11 @@
 
   void Start();
 
-  /** A planned stop: writes the slot in progress too. */
+  /** Starts writing all steps, including the current slot, for a planned stop.
+   */
   void WriteAll();
 
-  /** Everything that the journal was given is in the store. */
+  /** Returns whether every collected step of the journal was written. */
   bool Idle() const;
 
   const JournalStoreCounts& Counts() const;
--- a/Source/Process/Scheduler.h
+++ b/Source/Process/Scheduler.h
@@ -13,8 +13,8 @@
 class TableClient;
 
 /**
- * Runs the scheduler's core in an entry: timers, table and worker calls. Owned
- * by EntryProcess, used in its thread.
+ * Runs a SchedulerCore in an entry and performs its actions: timers, table
+ * transactions and worker calls. Owned by EntryProcess, used in its thread.
  */
 class Scheduler
 {
@@ -28,7 +28,7 @@
 
   void Start();
 
-  /** Hands the cells over, then calls back; running tasks go on. */
+  /** Starts handing over the owned cells; running tasks continue. */
   void HandOver();
   bool IsHandedOver() const;
 
--- a/Source/Process/SchedulerActions.h
+++ b/Source/Process/SchedulerActions.h
@@ -10,8 +10,8 @@
 
 namespace cactusrail {
 
-/** What the scheduler's core asks its I/O layer to do; the answer comes back
- * with the token. */
+/** Table read requested by SchedulerCore. Scheduler passes the result back to
+ * SchedulerCore with the token, for this and for the next two actions. */
 struct ReadRowsAction
 {
   std::uint64_t token_ = 0;
@@ -33,7 +33,7 @@
   WorkerCommand command_;
 };
 
-/** A step in a task's life, for the journal. */
+/** Adds a step of a task to the journal. */
 struct NoteAction
 {
   RequestStep step_;
--- a/Source/Process/SchedulerCore.cxx
+++ b/Source/Process/SchedulerCore.cxx
@@ -17,14 +17,16 @@
 
 constexpr std::size_t kMaxPlacementsPerWrite = 64;
 constexpr Millis kRepeatCommand{ 500 };
-/** Unanswered reads after which the table counts as having been down. */
+/** Number of missed poll intervals after which the table counts as having been
+ * down. */
 constexpr int kPollsMissed = 4;
 constexpr std::array<const char*, 4> kPolled{ kWorkerPrefix,
                                               kCellPrefix,
                                               kJobPrefix,
                                               kEntryPrefix };
 
-/** FNV-1a over both: the same in every process, however it was built. */
+/** Returns the FNV-1a hash of both strings, which is the same in every process
+ * and build. */
 std::uint64_t
 StableHash(std::string_view aFirst, std::string_view aSecond)
 {
@@ -55,23 +57,25 @@
            std::max(aLeft.accelerators_, aRight.accelerators_) };
 }
 
-/** What an owner knows of a start beyond its reservation. */
+/** An owner's state of a started task, in addition to the reservation. */
 struct HeldTask
 {
-  /** The worker has said that it runs. */
+  /** Whether the worker has reported the task as running. */
   bool acknowledged_ = false;
-  /** Some owner may have sent a start. */
+  /** Whether any owner may have sent a start command. */
   bool granted_ = false;
-  /** By then the worker has certainly passed every deadline we gave. */
+  /** Time at which the worker's clock has certainly passed every deadline that
+   * this entry granted. */
   Instant ownGrantOver_;
-  /** The same for what earlier owners may have given. */
+  /** Same as ownGrantOver_, for deadlines that earlier owners may have granted.
+   */
   Instant foreignGrantOver_;
   std::optional<EndedTask> ended_;
   std::string checkpoint_;
   bool evict_ = false;
-  /** Its end is in the journal. */
+  /** Whether the end of the task is in the journal. */
   bool noted_ = false;
-  /** No start or stop of it is repeated before. */
+  /** Earliest time to repeat a start or stop command. */
   Instant commandAfter_;
 };
 
@@ -80,7 +84,7 @@
   JobRow row_;
   std::uint64_t revision_ = 0;
   Instant learnedAt_;
-  /** A write of ours that changes it is under way. */
+  /** Whether a write of this entry that changes the job is in flight. */
   bool busy_ = false;
 };
 
@@ -99,8 +103,8 @@
 
   CellLease lease_;
   std::map<TaskRef, HeldTask> held_;
-  /** Taken off by a write that has not been refused for certain: they get no
-   * further grant, for the task may be elsewhere already. */
+  /** Tasks removed by a write that is not known to have failed. They get no
+   * further grant, because the task may already run elsewhere. */
   std::set<TaskRef> releasing_;
   std::uint64_t heldEpoch_ = 0;
   Instant preferredElsewhereSince_;
@@ -113,7 +117,7 @@
   Instant sentAt_;
 };
 
-/** A write of a cell's row with the jobs that it changes. */
+/** Write of a cell's row together with the jobs that it changes. */
 struct PendingWrite
 {
   std::string cell_;
@@ -163,7 +167,7 @@
   {
   }
 
-  // Reading.
+  // Reads of the table.
   void Poll(Instant aNow);
   void TakeWorkers(const std::vector<TableRow>& aRows);
   void TakeCells(const std::vector<TableRow>& aRows,
@@ -178,7 +182,7 @@
   CellView& CellOf(const std::string& aName);
   void Sync(CellView& aCell, const std::vector<TaskRef>* aPlaced, Instant aNow);
 
-  // Owning.
+  // Ownership of cells.
   std::size_t RankFor(const std::string& aCell,
                       Micros aSilence,
                       Instant aNow) const;
@@ -194,7 +198,7 @@
              const TableOutcome& aOutcome,
              Instant aNow);
 
-  // Ending and placing.
+  // End and placement of tasks.
   void CollectEnds(CellView& aCell,
                    CellLedger& aLedger,
                    PendingWrite& aWrite,
@@ -229,7 +233,7 @@
   JobRow* JobFor(PendingWrite& aWrite, const std::string& aJobId);
   std::vector<std::string> JobsInOrder(const std::string& aCell) const;
 
-  // Commanding workers.
+  // Commands to workers.
   void CommandWorkers(const std::string& aName, CellView& aCell, Instant aNow);
   void CommandWorker(const std::string& aName,
                      CellView& aCell,
@@ -341,9 +345,10 @@
   }
 }
 
-/** After an outage of the table every owner's row is old. Taking the cells at
- * once would change all owners, each with a new wait for the former's grants;
- * the owners get a whole lease to renew first. */
+/** Restarts the lease periods of the cells after an outage of the table. During
+ * an outage no owner renews its row. Acquiring the cells at once would change
+ * all owners, and each new owner would wait until the former owner's grants
+ * expire. The owners therefore get a whole lease to renew first. */
 void
 SchedulerCore::Private::WatchAfterGap(Instant aNow)
 {
@@ -366,8 +371,9 @@
   }
   std::map<TaskRef, HeldTask> held;
   const CellRow& row = aCell.lease_.Row();
-  // What an earlier owner granted is over by then: it gave nothing beyond its
-  // own lease and the grace, and its lease began before this write.
+  // The grants of earlier owners have expired by this time: an owner grants
+  // nothing beyond its own lease plus the grace period, and the earlier lease
+  // began before this write.
   const Instant foreign =
     aNow + timings_.cellLease_ + timings_.ownerGrace_ + timings_.margin_;
   for (const Reservation& reservation : row.reservations_) {
@@ -447,8 +453,9 @@
   }
 }
 
-/** How many live entries come before this one for the cell, by rendezvous
- * hashing: cells spread, and few move when an entry comes or goes. */
+/** Returns the number of live entries that rank before this one for the cell.
+ * Rendezvous hashing distributes the cells and moves few of them when an entry
+ * joins or leaves. */
 std::size_t
 SchedulerCore::Private::RankFor(const std::string& aCell,
                                 Micros aSilence,
@@ -506,8 +513,9 @@
   if (handingOver_) {
     return true;
   }
-  // An entry that died is still known for a while. Handing its cell back to it
-  // would leave the cell ownerless again and again, so only fresh rows count.
+  // The row of a dead entry remains for a while. Handing a cell back to that
+  // entry would repeatedly leave the cell without an owner, so only fresh rows
+  // count.
   const bool here = RankFor(aName, timings_.entryFresh_, aNow) == 0;
   if (here || aCell.preferredHere_) {
     aCell.preferredElsewhereSince_ = aNow;
@@ -607,8 +615,9 @@
         return TaskEnd::Lost;
     }
   }
-  // An owner that was frozen past its lease must not say "never started" or
-  // "lost" of what another entry runs since; it renews its lease first.
+  // An owner that was frozen past its lease must not report "never started" or
+  // "lost" for a task that another entry may run since; it must renew its
+  // lease first.
   if (!aCell.lease_.MayAct(aNow)) {
     return std::nullopt;
   }
@@ -624,9 +633,10 @@
              ? std::nullopt
              : std::optional(TaskEnd::NeverStarted);
   }
-  // A silent worker may be frozen or cut off with the task still going. It
-  // stops by its own clock at the last deadline that any owner gave it; only
-  // past all of them is the room free and the task's fate settled.
+  // An unresponsive worker may be frozen or partitioned while the task still
+  // runs. The worker stops the task by its own clock at the last deadline that
+  // any owner granted. Only after all deadlines are the resources free and the
+  // outcome of the task final.
   if (aNow > std::max(held.ownGrantOver_, held.foreignGrantOver_)) {
     return TaskEnd::Lost;
   }
@@ -678,8 +688,8 @@
                                 Verdict aVerdict,
                                 CellView& aCell)
 {
-  // Noted before the write, while nobody can have started the task elsewhere:
-  // after it, "never started" might already be history.
+  // Add the step before the write, while no other entry can have started the
+  // task: after the write, "never started" may no longer be true.
   if (std::exchange(aCell.held_.at(aRef).noted_, true)) {
     return;
   }
@@ -700,8 +710,8 @@
       ids.push_back(id);
     }
   }
-  // Services first. Beyond that each cell has an order of its own, so that
-  // owners seldom write the same job's row at once.
+  // Place services first. Within each group, every cell uses a different order,
+  // so that owners seldom write the row of the same job at the same time.
   const auto key = [this, &aCell](const std::string& aId) {
     const bool urgent = jobs_.at(aId).row_.spec_.kind_ == WorkKind::Service;
     return std::pair(urgent ? 0 : 1, StableHash(aId, aCell));
@@ -748,8 +758,9 @@
     if (worker.report_.has_value()) {
       fact.used_ = worker.report_->used_;
     }
-    // Use lags and declared sizes are off: what is truly used counts where it
-    // is more than what was reserved, with what can't show in it yet.
+    // Reported usage lags, and declared sizes are inaccurate. Count the larger
+    // of the reservations and the measured usage, to which the reservations
+    // that the measurement can't include yet are added.
     unreported += fact.used_;
     fact.reserved_ = Larger(fact.reserved_, unreported);
     facts.push_back(std::move(fact));
@@ -781,7 +792,7 @@
       count(name, cell->lease_.Row());
     }
   }
-  // A write under way may have applied already: the larger of both counts.
+  // A write in flight may already be applied, so count the larger of both.
   for (const auto& [token, write] : writes_) {
     if (write.cell_ != aCell) {
       count(write.cell_, write.next_);
@@ -903,9 +914,9 @@
   counts_.released_ += aWrite.releases_;
   counts_.lost_ += aWrite.losses_;
   for (const auto& [ref, note] : aWrite.notes_) {
-    // The answer may come late, after a read showed the placement and the task
-    // was started, or after another entry took the cell: "placed, did not run"
-    // would then no longer be true.
+    // The response may arrive after a read returned the placement and the task
+    // was started, or after another entry acquired the cell. The step "placed,
+    // did not run" would then no longer be true.
     const auto held = cell.held_.find(ref);
     if (cell.lease_.MayAct(aNow) && held != cell.held_.end() &&
         !held->second.granted_) {
@@ -1113,9 +1124,9 @@
                                        CellView& aCell,
                                        Instant aNow)
 {
-  // Beyond its lease an owner still renews what runs, within the grace: no
-  // other owner moves a task before that is over or its worker has answered
-  // to the higher epoch.
+  // After the end of its lease, an owner still renews running tasks within the
+  // grace period: no other owner moves a task before the grace period is over
+  // or the task's worker has acknowledged the higher epoch.
   if (aNow >= GrantLimit(aCell)) {
     return;
   }
@@ -1180,8 +1191,8 @@
     if (!running->checkpoint_.empty()) {
       held.checkpoint_ = running->checkpoint_;
     }
-    // The worker has answered to this epoch, so it takes no more from earlier
-    // owners: what they gave ends where it says.
+    // The worker has acknowledged this epoch and rejects commands of earlier
+    // owners, so their grants end at the deadline that the worker reports.
     const Micros left(running->until_ - aWorker.report_->clock_);
     held.foreignGrantOver_ =
       std::min(held.foreignGrantOver_, aNow + left + timings_.margin_);
@@ -1190,8 +1201,9 @@
   if (const EndedTask* ended = aWorker.FindEnded(ref)) {
     held.ended_ = *ended;
   }
-  // Neither runs nor has ended: the start may be on its way, or the worker
-  // reports less than it has. It stays counted until it is known to be over.
+  // The task is reported neither as running nor as ended: the start command may
+  // be in flight, or the report may be incomplete. The reservation stays until
+  // the task is known to be over.
 }
 
 void
@@ -1229,8 +1241,8 @@
   CommandWorkers(aCall.cell_, cell, aNow);
 }
 
-/** Only while the report and our record name the same tasks: else the use is
- * that of others too, or of fewer. */
+/** Passes the usage on only if the report and this entry's row list the same
+ * tasks. Otherwise the usage includes other tasks or lacks some. */
 void
 SchedulerCore::Private::TeachUsage(const CellRow& aRow,
                                    const WorkerView& aWorker,
--- a/Source/Process/SchedulerCore.h
+++ b/Source/Process/SchedulerCore.h
@@ -15,7 +15,7 @@
 
 namespace cactusrail {
 
-/** Changes since the start, for operators and for the cost of a task. */
+/** Counters since the process started, for metrics and the cost per task. */
 struct SchedulerCounts
 {
   std::uint64_t tableWrites_ = 0;
@@ -27,9 +27,10 @@
 };
 
 /**
- * Owns cells, places tasks on their workers and follows them to their end.
- * Pure: rows, reports and the time go in, actions come out; the golden sessions
- * and the entries drive this same code. Owned by Scheduler.
+ * Owns cells, places tasks on their workers and tracks the tasks until they
+ * end. Performs no I/O: the inputs are rows, reports and the time, the outputs
+ * are actions. Entries and the golden sessions run the same code. Owned by
+ * Scheduler.
  */
 class SchedulerCore
 {
@@ -39,7 +40,7 @@
                 std::unique_ptr<PlacementChooser> aChooser);
   ~SchedulerCore();
 
-  /** Time has passed; called several times a second. */
+  /** Runs the periodic work; to be called several times a second. */
   void Tick(Instant aNow);
 
   void OnRows(std::uint64_t aToken,
@@ -52,23 +53,25 @@
                 const Result<WorkerReport>& aReport,
                 Instant aNow);
 
-  /** What the caller has to do now, in order. */
+  /** Returns and clears the pending actions, in the order to perform them. */
   std::vector<SchedulerAction> TakeActions();
 
-  /** Thousandths of processors that each tenant may hold; absent: no bound. */
+  /** Sets the CPU quota of each tenant, in thousandths of a processor. A tenant
+   * that is absent has no limit. */
   void SetQuotas(std::map<std::string, std::int64_t> aQuotas);
 
-  /** Checkpoints and stops a task that this entry's cells hold; it resumes
-   * where there is room. False if it is not held here. */
+  /** Checkpoints and stops a task in one of this entry's cells. The task
+   * resumes on a worker with enough capacity. Returns false if no cell of this
+   * entry holds the task. */
   bool Evict(const std::string& aTaskId);
 
-  /** Reads the table at the next tick: an operator changed something. */
+  /** Requests a table read at the next tick, after an operator's change. */
   void Nudge();
 
-  /** A planned stop: hands the cells over; tasks run on. */
+  /** Hands over the owned cells for a planned stop; running tasks continue. */
   void HandOver();
 
-  /** Whether a handed-over cell's write is still under way. */
+  /** Returns whether this entry owns no cell and has no write in flight. */
   bool IsHandedOver() const;
 
   std::vector<std::string> OwnedCells() const;
--- a/Source/Process/SchedulerWorkers.h
+++ b/Source/Process/SchedulerWorkers.h
@@ -13,43 +13,46 @@
 
 namespace cactusrail {
 
-/** A deadline for tasks on a worker, as both clocks count it. */
+/** Deadline of the tasks on a worker, in the clocks of worker and entry. */
 struct TaskGrant
 {
-  /** By the worker's clock. */
+  /** Deadline in microseconds of the worker's clock. */
   std::int64_t until_ = 0;
-  /** By this entry's clock the worker has certainly passed it. */
+  /** Time on this entry's clock at which the worker's clock has certainly
+   * passed the deadline. */
   Instant overBy_;
 };
 
-/** What an entry knows of one worker. */
+/** An entry's state of one worker. */
 struct WorkerView
 {
   WorkerRow row_;
   std::optional<WorkerReport> report_;
-  /** When the latest report arrived. */
+  /** Arrival time of the latest report. */
   Instant heardAt_;
-  /** The token of the call under way; one at a time. 0 if none. */
+  /** Token of the call in flight, at most one at a time; 0 if none. */
   std::uint64_t call_ = 0;
   Instant callAfter_;
   Instant renewDueAt_;
   std::uint32_t failures_ = 0;
-  /** The cell epoch of ours that it has answered to. */
+  /** Highest epoch of this entry's cell that the worker has acknowledged. */
   std::uint64_t fencedEpoch_ = 0;
 
-  /** Whether it was heard lately enough to get new tasks. */
+  /** Returns whether the latest report is recent enough, and the latest call
+   * did not fail, so that the worker can get new tasks. */
   bool IsUsable(const WorkTimings& aTimings, Instant aNow) const;
 
-  /** The lesser of what its row and its report state. */
+  /** Returns the minimum of the capacities in the row and in the report. */
   Resources Capacity() const;
 
-  /** The incarnation that commands are meant for. */
+  /** Returns the incarnation that commands are addressed to. */
   std::uint64_t Incarnation() const;
 
   /**
-   * The longest grant now, never beyond aLimit on this entry's clock; none if
-   * the worker has not been heard. The report left the worker before heardAt_,
-   * so what its clock reaches by then it reaches no later than we count here.
+   * Returns the longest possible grant, which never exceeds aLimit on this
+   * entry's clock; none if no report has arrived. The worker sent its report
+   * before heardAt_, so its clock reaches the deadline no later than computed
+   * here.
    */
   std::optional<TaskGrant> Grant(const WorkTimings& aTimings,
                                  Instant aLimit) const;
--- a/Source/Process/WorkCommands.cxx
+++ b/Source/Process/WorkCommands.cxx
@@ -43,7 +43,8 @@
   return QUrl::toPercentEncoding(QString::fromStdString(aText)).toStdString();
 }
 
-/** The jobs that a selector chooses; the failure is reported already. */
+/** Returns the jobs that match a selector. After a failure, which is already
+ * reported, returns none and sets aCode. */
 std::optional<JobList>
 ReadJobs(const EntryClient& aClient,
          const std::string& aSelector,
@@ -90,13 +91,14 @@
   return table.Text();
 }
 
-/** Sends a verb and prints its one outcome. */
+/** Sends a verb and prints its outcome. */
 ExitCode
 SendVerb(const CommandLine& aLine,
          const EntryClient& aClient,
          const VerbRequest& aRequest)
 {
-  // Without its id a lost answer could not be asked for again.
+  // Print the id first: it is needed to query the outcome after a lost
+  // response.
   std::cerr << "operation " << aRequest.operationId_ << '\n';
   ExitCode code = ExitCode::Done;
   const std::optional<HttpReply> reply =
@@ -125,7 +127,8 @@
   return aLine.Given("operation") ? aLine.Text("operation") : NewOperationId();
 }
 
-/** Reads an option into a number; false, with the fault, if it is wrong. */
+/** Parses a numeric option. Returns false and sets the error if it is invalid.
+ */
 template<typename Number>
 bool
 ReadNumber(const CommandLine& aLine,
@@ -251,7 +254,7 @@
   return code;
 }
 
-/** Waits until no task of the selector's jobs is held by a worker any more. */
+/** Waits until no worker holds a task of the selected jobs. */
 ExitCode
 WaitUntilNoneHeld(const EntryClient& aClient, const std::string& aSelector)
 {
@@ -294,8 +297,8 @@
       chosen.push_back(job.id_);
     }
   }
-  // A repeat of an operation is asked of the entry whatever is there by now:
-  // it answers with the first outcome.
+  // Send a repeated operation even if no job matches now: the entry returns the
+  // first outcome.
   if (chosen.empty() && !aLine.Given("operation")) {
     std::cerr << "The selector chose no job that is not over.\n";
     return ExitCode::NotFound;
--- a/Source/Process/WorkCommands.h
+++ b/Source/Process/WorkCommands.h
@@ -5,7 +5,7 @@
 class CommandTable;
 
 /**
- * Adds the commands on work: create job, list jobs, inspect job, and pause,
+ * Adds the commands for jobs: create job, list jobs, inspect job, and pause,
  * resume, drain, stop and cancel by selector.
  */
 void
--- a/Source/Process/WorkPages.cxx
+++ b/Source/Process/WorkPages.cxx
@@ -26,7 +26,8 @@
 constexpr Millis kRecallTimeout{ 1000 };
 constexpr int kUnavailable = 503;
 
-/** The steps of a task, as /v1/explain answers those of a request. */
+/** Steps of a task, in the format in which /v1/explain returns the steps of a
+ * request. */
 struct TaskSteps
 {
   std::vector<RequestStep> steps_;
@@ -38,7 +39,8 @@
   }
 };
 
-/** What is known of a task so far, while entries and the table are asked. */
+/** Collected results about a task while queries to entries and to the table are
+ * in flight. */
 struct TaskQuestion
 {
   HttpExchange exchange_;
@@ -192,8 +194,8 @@
     aExchange.Answer(OperatorError(
       kUnavailable, "The jobs can't be read now: " + aFailure.message_));
   };
-  // Open jobs first: a job that ends between the reads is then seen twice, and
-  // never missed.
+  // Read the open jobs first: a job that ends between the reads is then found
+  // twice instead of missed.
   table_.Read(
     kJobPrefix + aId,
     ReadMonotonicClock() + kTableTimeout,
@@ -304,7 +306,8 @@
   auto question =
     std::make_shared<TaskQuestion>(TaskQuestion{ aExchange, id, {}, {}, 2 });
   question->known_.steps_ = journal_.Recall(id);
-  // Whichever entry owned the task's cell has its steps, while it lives.
+  // Query all entries: each one that owned the task's cell has steps of the
+  // task in memory while its process runs.
   for (const EntryRecord& entry : directory_.Others()) {
     ++question->open_;
     AskEntry(entry, question);
--- a/Source/Process/WorkPages.h
+++ b/Source/Process/WorkPages.h
@@ -13,9 +13,10 @@
 class TableClient;
 
 /**
- * Operators' pages on work: POST /v1/work takes a verb, GET /v1/jobs lists by
- * selector, GET /v1/jobs/inspect shows one job, GET /v1/cells what is reserved
- * where, GET /v1/tasks/explain what became of a task. Owned by EntryProcess,
+ * HTTP routes for operators to manage jobs: POST /v1/work applies a verb, GET
+ * /v1/jobs lists jobs by selector, GET /v1/jobs/inspect returns one job, GET
+ * /v1/cells the reservations of each cell, POST /v1/evict evicts a task, and
+ * GET /v1/tasks/explain returns the history of a task. Owned by EntryProcess,
  * used in its thread.
  */
 class WorkPages
