--- a/Source/Process/ConfigCommands.cxx
+++ b/Source/Process/ConfigCommands.cxx
@@ -27,7 +27,7 @@
   return ExitCodeOfFailure(aFailure);
 }
 
-/** The whole of a file, or of the standard input for "-". */
+/** Reads a whole file, or the standard input for "-". */
 Result<std::string>
 ReadAll(const std::string& aPath)
 {
@@ -51,7 +51,7 @@
     .toStdString();
 }
 
-/** A key as it stands in its file, without the line's end. */
+/** Removes the line ending of a key that was read from a file. */
 std::string
 WithoutLineEnd(std::string aText)
 {
@@ -132,7 +132,7 @@
   return head.Text() + "\n" + tenants.Text() + "\n" + services.Text();
 }
 
-/** Prints a configuration that an entry answered with. */
+/** Prints a configuration from an entry's response. */
 ExitCode
 PrintConfiguration(const CommandLine& aLine, const std::string& aText)
 {
@@ -142,7 +142,7 @@
   }
   const Result<Configuration> parsed = ParseConfiguration(aText);
   if (!Succeeded(parsed)) {
-    // Newer than this program: printed as it came.
+    // The format is newer than this program: print the text unchanged.
     std::cout << aText;
     return ExitCode::Done;
   }
@@ -163,8 +163,8 @@
   return reply.has_value() ? PrintConfiguration(aLine, reply->body_) : code;
 }
 
-/** Sends a whole configuration; the entry refuses one that has no next version.
- */
+/** Sends a whole configuration. The entry rejects it if its version is not the
+ * next one. */
 ExitCode
 PutConfiguration(const CommandLine& aLine,
                  const EntryClient& aClient,
@@ -244,14 +244,16 @@
       return Report(*failure);
     }
   }
-  // The key comes from a file: an argument would show in the process list.
+  // Read the key from a file: an argument would be visible in the process list.
   const Result<std::string> key = ReadAll(aLine.Text("CALLER-KEY-FILE"));
   if (const auto* failure = std::get_if<Failure>(&key)) {
     return Report(*failure);
   }
   const std::string secret = WithoutLineEnd(std::get<std::string>(key));
   if (secret.empty()) {
-    return Report(NotRun(FailureKind::BadInput, "The caller's key is empty."));
+    return Report(
+      NotRun(FailureKind::BadInput,
+             "The caller's key is empty; write the key to the file."));
   }
   TenantConfig tenant;
   tenant.name_ = aLine.Text("NAME");
--- a/Source/Process/ConfigCommands.h
+++ b/Source/Process/ConfigCommands.h
@@ -4,7 +4,8 @@
 
 class CommandTable;
 
-/** Adds config check, keys, get and set, create tenant and create service. */
+/** Adds the commands config check, config keys, config get, config set, create
+ * tenant and create service. */
 void
 AddConfigCommands(CommandTable& aTable);
 
--- a/Source/Process/ConfigurationKeeper.cxx
+++ b/Source/Process/ConfigurationKeeper.cxx
@@ -54,7 +54,7 @@
   ConfigurationVersion decision_;
   ConfigurationPeers peers_;
   QTimer tick_;
-  /** Operators that wait for the outcome of their change, by nonce. */
+  /** Operator requests that wait for the outcome of a change, by nonce. */
   std::map<std::string, HttpExchange> waiting_;
 };
 
--- a/Source/Process/ConfigurationKeeper.h
+++ b/Source/Process/ConfigurationKeeper.h
@@ -14,14 +14,14 @@
 class TableClient;
 
 /**
- * Keeps an entry's configuration up to date and takes operators' changes to it
- * (GET and PUT /v1/config): the input and output of ConfigurationVersion,
- * which decides. Owned by EntryProcess.
+ * Keeps an entry's configuration up to date and serves operators' requests to
+ * read and change it (GET and PUT /v1/config). Performs the I/O for
+ * ConfigurationVersion, which makes the decisions. Owned by EntryProcess.
  */
 class ConfigurationKeeper
 {
 public:
-  /** aNonceStart is unique to this process's start. */
+  /** aNonceStart is a prefix that is unique for each start of a process. */
   ConfigurationKeeper(TableClient& aTable,
                       ConfigurationHolder& aHolder,
                       const EntryDirectory& aDirectory,
@@ -30,10 +30,10 @@
 
   void AddRoutes(OperatorRoutes& aRoutes);
 
-  /** Reads the table now and then every second. */
+  /** Reads the table immediately and then every second. */
   void Start();
 
-  /** Heartbeats name the version that their side holds. */
+  /** Handles the configuration version that a side reports in a heartbeat. */
   void OnHeartbeat(const HeartbeatMessage& aHeartbeat);
 
   const ConfigurationCounts& Counts() const;
--- a/Source/Process/ConfigurationPeers.cxx
+++ b/Source/Process/ConfigurationPeers.cxx
@@ -16,9 +16,11 @@
 
 constexpr Millis kPeerTimeout{ 2000 };
 constexpr Millis kPushEvery{ 1000 };
-/** One good answer is enough; a few hide a peer that just ended. */
+/** Number of sides to query at a time. One valid answer is enough; querying
+ * several sides tolerates sides that have just ended. */
 constexpr std::size_t kSidesAsked = 3;
-/** Sides that are remembered as holding more; any of them will do. */
+/** Maximum number of stored sides with a higher version; any of them can
+ * provide it. */
 constexpr std::size_t kSidesKept = 64;
 
 }
@@ -40,9 +42,10 @@
   const ConfigurationHolder& holder_;
   OnText onText_;
   HttpCaller caller_;
-  /** When a side may be sent the configuration again. */
+  /** Earliest time to send the configuration to a side again, by side id. */
   std::map<std::string, Instant> nextPush_;
-  /** Sides whose last heartbeat named a higher version than is held here. */
+  /** Sides whose latest heartbeat reported a higher version than the current
+   * one, by side id. */
   std::map<std::string, HeartbeatMessage> ahead_;
 };
 
@@ -143,7 +146,7 @@
     }
     self.AskSide(side);
   }
-  // Who is still there and still ahead will say so again.
+  // Heartbeats add the sides that are still alive and ahead again.
   self.ahead_.clear();
 }
 
--- a/Source/Process/ConfigurationPeers.h
+++ b/Source/Process/ConfigurationPeers.h
@@ -11,9 +11,9 @@
 namespace cactusrail {
 
 /**
- * Exchanges configurations with other entries and with sides, so that they
- * spread, and a process that starts finds them, while the table service is
- * down. Owned by ConfigurationKeeper.
+ * Exchanges configurations with other entries and with sides. While the table
+ * service is down, configurations thus still propagate, and a starting process
+ * still gets one. Owned by ConfigurationKeeper.
  */
 class ConfigurationPeers
 {
@@ -23,10 +23,11 @@
   ConfigurationPeers(const ConfigurationHolder& aHolder, OnText aOnText);
   ~ConfigurationPeers();
 
-  /** Sends the configuration to a side that holds a lower version. */
+  /** Sends the configuration to a side that reports a lower version. */
   void OnHeartbeat(const HeartbeatMessage& aHeartbeat);
 
-  /** Asks the entries, and some sides that hold a higher version. */
+  /** Requests the configuration from the entries and from some sides that
+   * report a higher version. */
   void Ask(const std::vector<EntryRecord>& aEntries);
 
 private:
--- a/Source/Process/EntryClient.cxx
+++ b/Source/Process/EntryClient.cxx
@@ -18,7 +18,7 @@
 constexpr int kNotFound = 404;
 constexpr Millis kCallTimeout{ 5000 };
 
-/** The body of an entry's error. */
+/** Body of an entry's error response. */
 struct ErrorBody
 {
   std::string message_;
@@ -46,7 +46,7 @@
   return *std::move(result);
 }
 
-/** Puts the operator's key in force in this process, if one is named. */
+/** Loads the operator's key into this process if a key file is specified. */
 std::optional<Failure>
 LoadKey(const CommandLine& aLine)
 {
@@ -59,7 +59,7 @@
   }
   const Result<std::string> text = SettingsFile::ReadText(path);
   if (!Succeeded(text)) {
-    return NotRun(FailureKind::BadInput, path + ": the key can't be read.");
+    return NotRun(FailureKind::BadInput, path + ": The key can't be read.");
   }
   Result<KeyRing> ring = KeyRing::Parse(std::get<std::string>(text));
   if (const auto* failure = std::get_if<Failure>(&ring)) {
@@ -78,8 +78,9 @@
     return body->message_;
   }
   return aReply.status_ == kNotFound
-           ? "No process that could be asked knows of it: it is older than "
-             "what they remember, or their hosts were replaced."
+           ? "No process that could be asked has a record of it: the record is "
+             "older "
+             "than the retained history, or the hosts were replaced."
            : aReply.body_;
 }
 
@@ -122,8 +123,8 @@
     last = *failure;
     last.message_ = "The entry " + entry.Text() + ": " + failure->message_;
     if (aMethod != "GET" && failure->verdict_ != Verdict::DidNotRun) {
-      last.message_ += " The change may have been made; look before you try "
-                       "again.";
+      last.message_ += " The change may have been made; check the state before "
+                       "you try again.";
       break;
     }
   }
--- a/Source/Process/EntryClient.h
+++ b/Source/Process/EntryClient.h
@@ -11,27 +11,28 @@
 namespace cactusrail {
 
 /**
- * Asks entries on behalf of an operator and waits for the answer. Needs a
- * QCoreApplication that runs no event loop yet. Owned by a command.
+ * Sends an operator's requests to entries and waits for the responses. Requires
+ * a QCoreApplication whose event loop is not running. Owned by a command.
  */
 class EntryClient
 {
 public:
-  /** The entries and the key of a command line. */
+  /** Reads the entries and loads the key that the command line specifies. */
   static Result<EntryClient> Make(const CommandLine& aLine);
 
   /**
-   * Asks the first entry that can be reached. After a failure the next one is
-   * asked only if the call can't have had an effect: it was a GET, or the
-   * connection was never made. A change is thus never sent twice.
+   * Calls the first reachable entry. After a failure, tries the next entry only
+   * if the call had no effect: it was a GET, or it failed with the verdict "did
+   * not run", for instance without a connection. A change is thus never sent
+   * twice.
    */
   Result<HttpReply> Call(const std::string& aMethod,
                          const std::string& aTarget,
                          const std::string& aBody) const;
 
   /**
-   * Call(), but any status other than 2xx is printed to stderr as well as a
-   * failure. aCode gets the exit code that belongs to the outcome.
+   * Like Call(), but prints a failure and any status other than 2xx to stderr.
+   * Sets aCode to the exit code of the outcome.
    */
   std::optional<HttpReply> CallOrReport(const std::string& aMethod,
                                         const std::string& aTarget,
--- a/Source/Process/EntryDirectory.cxx
+++ b/Source/Process/EntryDirectory.cxx
@@ -38,8 +38,9 @@
   for (const auto& [name, known] : known_) {
     newest = std::max(newest, known.changedAt_);
   }
-  // Measured against the freshest row and not the clock: while the table
-  // service is down no row is refreshed, and nobody is forgotten for that.
+  // Compare with the latest change of any row instead of the current time:
+  // while the table service is down, no row is refreshed, and no entry may be
+  // removed because of the outage.
   for (const auto& [name, known] : known_) {
     if (known.changedAt_ + kEntrySilence > newest) {
       others.push_back(known.record_);
--- a/Source/Process/EntryDirectory.h
+++ b/Source/Process/EntryDirectory.h
@@ -12,13 +12,14 @@
 
 namespace cactusrail {
 
-/** The value of a row "entry/NAME". */
+/** Value of a row "entry/NAME". */
 struct EntryRecord
 {
   std::string name_;
-  /** Changes with every start and every refresh, so the revision rises. */
+  /** Changes with every start and every refresh, so that the row's revision
+   * increases. */
   std::uint64_t incarnation_ = 0;
-  /** "IP:port" of operators' pages and of the membership socket. */
+  /** "IP:port" of the operator HTTP server and of the membership socket. */
   std::string operators_;
   std::string membership_;
 
@@ -33,10 +34,11 @@
 };
 
 /**
- * The other entries, from their rows in the table service, which each entry
- * refreshes. An entry whose row has not changed for kEntrySilence while the
- * row of another has is taken for gone; while the table service is down all
- * that were known stay known. Pure; used in one thread.
+ * List of the other entries, built from the rows that each entry refreshes in
+ * the table service. An entry counts as gone if its row is at least
+ * kEntrySilence older than the latest change of another entry's row. While the
+ * table service is down, no entry is removed. Performs no I/O; used in one
+ * thread.
  */
 class EntryDirectory
 {
@@ -46,10 +48,10 @@
 
   explicit EntryDirectory(std::string aOwnName);
 
-  /** All rows with the prefix "entry/", as just read. */
+  /** Updates the list from all rows with the prefix "entry/". */
   void OnRows(const std::vector<TableRow>& aRows, Instant aNow);
 
-  /** The other entries, by name. */
+  /** Returns the other live entries, ordered by name. */
   std::vector<EntryRecord> Others() const;
 
 private:
--- a/Source/Process/EntryPresence.cxx
+++ b/Source/Process/EntryPresence.cxx
@@ -10,7 +10,8 @@
 namespace {
 
 constexpr Millis kTableTimeout{ 2000 };
-/** The first reads come sooner, so that entries that start together meet. */
+/** Delay before the second refresh, shorter than kRefreshEvery so that entries
+ * that start at the same time find each other. */
 constexpr Millis kFirstRepeat{ 1000 };
 constexpr const char* kPrefix = "entry/";
 
--- a/Source/Process/EntryPresence.h
+++ b/Source/Process/EntryPresence.h
@@ -9,8 +9,8 @@
 class TableClient;
 
 /**
- * Writes this entry's row "entry/NAME" every ten seconds and reads the others'.
- * Owned by EntryProcess.
+ * Writes this entry's row "entry/NAME" every ten seconds and reads the rows of
+ * the other entries. Owned by EntryProcess.
  */
 class EntryPresence
 {
@@ -18,7 +18,8 @@
   EntryPresence(TableClient& aTable, const std::string& aOwnName);
   ~EntryPresence();
 
-  /** aOwn's incarnation is the first to be written; each refresh adds one. */
+  /** Starts the refreshes; each one increments aOwn's incarnation by one before
+   * it writes the row. */
   void Start(const EntryRecord& aOwn);
 
   const EntryDirectory& Directory() const;
--- a/Source/Process/EntryProcess.cxx
+++ b/Source/Process/EntryProcess.cxx
@@ -30,7 +30,7 @@
 namespace {
 
 constexpr Millis kStopCheck{ 50 };
-/** After the bound, for the answers to those given up to leave. */
+/** Time after the stop timeout to send the answers for abandoned requests. */
 constexpr Millis kLastAnswers{ 1000 };
 
 }
@@ -100,7 +100,8 @@
   bool listening_ = true;
   StopNotice notice_;
   Instant stopDeadline_;
-  /** The bound came first; so many requests were answered unfinished. */
+  /** Whether the stop timed out, and the number of requests that were answered
+   * unfinished. */
   bool gaveUp_ = false;
   std::size_t givenUp_ = 0;
   std::function<void()> stopped_;
--- a/Source/Process/EntryProcess.h
+++ b/Source/Process/EntryProcess.h
@@ -10,8 +10,9 @@
 namespace cactusrail {
 
 /**
- * An entry: serves callers in lanes, hears sides, answers operators. All
- * entries are equal and keep nothing that must last. Owned by main.
+ * Process of an entry: serves callers in lanes, receives heartbeats of sides
+ * and serves operators. All entries have the same role and store no durable
+ * state on their host. Owned by main.
  */
 class EntryProcess
 {
@@ -20,10 +21,11 @@
     const EntrySettings& aSettings);
   ~EntryProcess();
 
-  /** Begins a planned stop; calls back when every request is answered. */
+  /** Begins a planned stop; calls back when the stop is complete or has timed
+   * out. */
   void Stop(std::function<void()> aDone);
 
-  /** Addresses as taken, for people and scripts. */
+  /** Returns the bound addresses for operators and scripts. */
   std::string Describe() const;
 
 private:
--- a/Source/Process/EntrySettings.h
+++ b/Source/Process/EntrySettings.h
@@ -8,16 +8,16 @@
 
 namespace cactusrail {
 
-/** What an entry process is told by its settings file. */
+/** Settings of an entry process, read from its settings file. */
 struct EntrySettings
 {
   std::string name_;
   std::string dataCentre_;
-  /** Where callers' HTTP requests arrive. */
+  /** Address for callers' HTTP requests. */
   SocketAddress listen_;
-  /** Where operators and other entries ask. */
+  /** Address for HTTP requests of operators and other entries. */
   SocketAddress operators_;
-  /** Where sides' heartbeats arrive. */
+  /** Address for heartbeats of sides. */
   SocketAddress membership_;
   SocketAddress table_;
   std::int64_t lanes_ = 0;
--- a/Source/Process/ExplainCommand.cxx
+++ b/Source/Process/ExplainCommand.cxx
@@ -17,7 +17,7 @@
 
 namespace {
 
-/** The steps of a request, as an entry answers them. */
+/** Steps of a request in an entry's response. */
 struct StepList
 {
   std::vector<RequestStep> steps_;
@@ -29,7 +29,7 @@
   }
 };
 
-/** What explain prints for scripts. */
+/** JSON output of the explain command, for scripts. */
 struct ExplainOutput
 {
   std::string requestId_;
@@ -70,7 +70,8 @@
             << aExplanation.reason_ << '\n';
 }
 
-/** Asks an entry for a page and returns its body, or reports why not. */
+/** Requests a page from an entry and returns its body. Prints a failure and
+ * returns none. */
 std::optional<std::string>
 AskPage(const CommandLine& aLine, const std::string& aTarget, ExitCode& aCode)
 {
@@ -86,7 +87,8 @@
                            : std::nullopt;
 }
 
-/** Tasks are named JOB.INDEX; a request's id never ends so. */
+/** Returns the page for a task or a request. Task ids have the form JOB.INDEX;
+ * a request id never ends with .INDEX. */
 std::string
 ExplainPage(const std::string& aId)
 {
--- a/Source/Process/ExplainCommand.h
+++ b/Source/Process/ExplainCommand.h
@@ -4,7 +4,8 @@
 
 class CommandTable;
 
-/** Adds explain (what became of one request) and sides. */
+/** Adds the commands explain (the history of a request or task) and list
+ * sides. */
 void
 AddExplainCommands(CommandTable& aTable);
 
--- a/Source/Process/Explainer.cxx
+++ b/Source/Process/Explainer.cxx
@@ -26,16 +26,19 @@
 
 constexpr Millis kRecallTimeout{ 1000 };
 constexpr Millis kStoreTimeout{ 3000 };
-/** Slots of a lost entry that are read together, and how often at most. */
+/** Number of slots of a lost entry in one window, which are read together, and
+ * the maximum number of windows. */
 constexpr std::uint64_t kSlotsAtOnce = 8;
 constexpr std::uint64_t kMaxWindows = 4;
-/** Slots of a lost side from the step that names it on. */
+/** Number of slots of a lost side to read, starting at the slot of the step
+ * that names the side. */
 constexpr std::uint64_t kSideSlotsRead = 2;
-/** If no step names a side, so many are asked; more would be a flood. */
+/** Maximum number of sides to query if no step names a side. The limit keeps
+ * one request from flooding all sides. */
 constexpr std::size_t kMaxSidesAsked = 64;
 constexpr std::string_view kSidePrefix = "side/";
 
-/** The steps of one request, as operators and other entries read them. */
+/** Steps of one request, in the response to operators and other entries. */
 struct StepList
 {
   std::vector<RequestStep> steps_;
@@ -47,7 +50,8 @@
   }
 };
 
-/** One question, until the last of those asked has answered or timed out. */
+/** State of one explain request while queries to other processes are in flight.
+ */
 struct Question
 {
   HttpExchange exchange_;
@@ -55,7 +59,7 @@
   std::vector<RequestStep> steps_;
   std::size_t open_ = 0;
   std::uint64_t windows_ = 0;
-  /** What to do when all that is open now has come back. */
+  /** Continuation to call when all open queries have completed. */
   std::function<void()> next_;
 
   void Done()
@@ -82,7 +86,8 @@
 
 using SharedQuestion = std::shared_ptr<Question>;
 
-/** The side that a step's detail ends with; empty if it names none. */
+/** Returns the name of the side at the end of a step's detail; empty if the
+ * detail names no side. */
 std::string
 NamedSide(const RequestStep& aStep)
 {
@@ -182,8 +187,10 @@
 }
 
 /**
- * If no live entry remembers what the request's own entry saw, its segments are
- * read, from the slot that the id names on, until they conclude.
+ * Reads the stored segments of the entry that received the request, if no live
+ * entry has that entry's steps in memory. Starts at the slot that the request
+ * id specifies and reads windows of slots until the outcome is known, or
+ * kMaxWindows is reached.
  */
 void
 Explainer::Private::ReadLostEntry(const SharedQuestion& aQuestion)
@@ -292,7 +299,8 @@
   timer->start(kRecallTimeout);
 }
 
-/** A side that is named and has told nothing is gone, or was started anew. */
+/** Reads the stored segments of each side that a step names but that returned
+ * no steps. Such a side is gone or was restarted. */
 void
 Explainer::Private::ReadLostSides(const SharedQuestion& aQuestion)
 {
--- a/Source/Process/Explainer.h
+++ b/Source/Process/Explainer.h
@@ -12,10 +12,10 @@
 class TableClient;
 
 /**
- * Answers what became of one request (GET /v1/explain?id=ID): from this entry's
- * memory, the other entries' (GET /v1/recall?id=ID), that of the sides that are
- * named, and, where a host is gone, from the segments that it left in the
- * object store. Owned by EntryProcess.
+ * Returns the steps of one request (GET /v1/explain?id=ID). Collects the steps
+ * from the memory of this entry, of the other entries (GET /v1/recall?id=ID)
+ * and of the sides that the steps name. For a host that is gone, reads the
+ * segments that the host wrote to the object store. Owned by EntryProcess.
  */
 class Explainer
 {
--- a/Source/Process/KeyKeeper.h
+++ b/Source/Process/KeyKeeper.h
@@ -18,10 +18,11 @@
 namespace cactusrail {
 
 /**
- * Brings the key that our processes share. Hosts keep nothing and settings are
- * no place for a secret, so it lies in the table, which only our hosts reach:
- * the first process writes it on the condition that there is none. Owned by a
- * process; lives until the key is there.
+ * Loads the key that all processes of the fleet share. The key is stored in the
+ * table, which only hosts of the fleet can reach, because hosts store no state
+ * and settings files must not contain secrets. The first process creates the
+ * key, on condition that no key exists. Owned by a process; exists until the
+ * key is loaded.
  */
 template<RowStore Store>
 class KeyKeeper : public QObject
@@ -73,7 +74,8 @@
     transaction.conditions_.push_back({ KeyRowId(), 0 });
     transaction.puts_.push_back(
       { KeyRowId(), "fleet:" + bytes.toHex().toStdString() });
-    // Whoever wrote it, the row is read: an answer may be lost.
+    // Read the row after any outcome: the response may be lost, or another
+    // process may have written the key.
     store_.Write(transaction,
                  ReadMonotonicClock() + kTimeout,
                  Guarded(this, [this](const Commit&) { Retry(); }));
--- a/Source/Process/MembershipListener.cxx
+++ b/Source/Process/MembershipListener.cxx
@@ -10,7 +10,8 @@
 
 namespace {
 
-/** Keeps an acknowledgement well within one datagram. */
+/** Maximum number of entries in an acknowledgement, so that it fits into one
+ * datagram. */
 constexpr std::size_t kMaxAckEntries = 32;
 
 }
--- a/Source/Process/MembershipListener.h
+++ b/Source/Process/MembershipListener.h
@@ -13,8 +13,9 @@
 namespace cactusrail {
 
 /**
- * Hears the sides' heartbeats on an entry's datagram socket, keeps the view
- * that operators see and hands each heartbeat on. Owned by EntryProcess.
+ * Receives the sides' heartbeats on an entry's datagram socket, maintains the
+ * membership view for operators and passes each heartbeat to a callback. Owned
+ * by EntryProcess.
  */
 class MembershipListener
 {
@@ -22,7 +23,7 @@
   using OnHeartbeat =
     std::function<void(const HeartbeatMessage&, Instant aHeardAt)>;
   using ConfigVersion = std::function<std::uint64_t()>;
-  /** "IP:port" of the other entries' membership sockets. */
+  /** Returns the "IP:port" of the other entries' membership sockets. */
   using KnownEntries = std::function<std::vector<std::string>()>;
 
   static Result<std::unique_ptr<MembershipListener>> Open(
--- a/Source/Process/MembershipView.cxx
+++ b/Source/Process/MembershipView.cxx
@@ -4,7 +4,8 @@
 
 namespace {
 
-/** A silent side's last state is kept this long for operators to read. */
+/** Time for which operators can still read the last state of an unusable side.
+ */
 constexpr Millis kForgetAfter{ 60000 };
 
 }
@@ -16,8 +17,8 @@
   SideView& view = place->second;
   const HeartbeatMessage& known = view.heartbeat_;
   if (!isNew) {
-    // Datagrams may be late or doubled: a goodbye followed by a stale "ready"
-    // would bring a leaving upstream back. Incarnations are start times.
+    // Datagrams may be delayed or duplicated: a stale "ready" after a goodbye
+    // would make a leaving upstream usable again. Incarnations are start times.
     const bool older = aHeartbeat.sideIncarnation_ < known.sideIncarnation_ ||
                        (aHeartbeat.sideIncarnation_ == known.sideIncarnation_ &&
                         aHeartbeat.sequence_ <= known.sequence_);
--- a/Source/Process/MembershipView.h
+++ b/Source/Process/MembershipView.h
@@ -12,48 +12,51 @@
 
 namespace cactusrail {
 
-/** How long a silent side still gets new work; the bound of promise 7. */
+/** Time after the latest heartbeat at which a side stops getting new work; the
+ * limit of promise 7. */
 constexpr Millis kSideSilence{ 2000 };
 
-/** What an entry knows of one side, from its latest heartbeat. */
+/** State of one side, from its latest heartbeat. */
 struct SideView
 {
   HeartbeatMessage heartbeat_;
-  /** The side gets nothing new after this unless it is heard again. */
+  /** Time after which the side gets no new work unless a heartbeat arrives. */
   Instant usableUntil_;
 };
 
-/** What a heartbeat changed. */
+/** Change of the membership by a heartbeat. */
 enum class MembershipChange : std::uint8_t
 {
   None,
   Joined,
   Restarted,
   StateChanged,
-  /** Older than what is known: dropped. */
+  /** The heartbeat is not newer than the known one and was dropped. */
   Stale,
 };
 
 /**
- * The sides that an entry has heard of. There is no list: a side is known by
- * its heartbeats alone and forgotten by their absence. Pure; SharedMembership
- * gives threads access to one.
+ * Set of the sides from which an entry receives heartbeats. Sides are not
+ * configured: a heartbeat adds a side, and the absence of heartbeats removes
+ * it. Performs no I/O; SharedMembership provides access from several threads.
  */
 class MembershipView
 {
 public:
   MembershipChange Observe(const HeartbeatMessage& aHeartbeat, Instant aNow);
 
-  /** A side by id, usable or not. */
+  /** Returns the side with an id, whether it is usable or not. */
   std::optional<SideView> Find(std::string_view aSideId) const;
 
-  /** Not heard for so long that it gets nothing new; true if unknown. */
+  /** Returns whether the side's heartbeats have been absent for so long that it
+   * gets no new work; true if the side is unknown. */
   bool IsSilent(std::string_view aSideId, Instant aNow) const;
 
-  /** All sides, by id. */
+  /** Returns all sides, ordered by id. */
   std::vector<SideView> All() const;
 
-  /** Forgets sides that have been silent for long; returns their ids. */
+  /** Removes the sides that have been unusable for over 60 s; returns their
+   * ids. */
   std::vector<std::string> Forget(Instant aNow);
 
 private:
--- a/Source/Process/SideProcess.cxx
+++ b/Source/Process/SideProcess.cxx
@@ -30,16 +30,18 @@
 
 constexpr Millis kTick{ 50 };
 constexpr std::size_t kJournalRequests = 20000;
-/** An announcement is void after this, unless repeated. */
+/** Time after which an announcement expires unless it is repeated. */
 constexpr Millis kAnnouncementLife{ 3000 };
-/** Heartbeats that say "leaving" before the process ends. */
+/** Time for which heartbeats with the state "leaving" are sent before the
+ * process ends. */
 constexpr Millis kLeavingNotice{ 1000 };
-/** After the bound, for the answers to those given up to leave. */
+/** Time after the stop timeout to send the answers for abandoned attempts. */
 constexpr Millis kLastAnswers{ 1000 };
-/** A stopping side ends only after entries have sent nothing for this long. */
+/** Time without messages from entries that must pass before a stopping side
+ * ends. */
 constexpr Millis kQuietBeforeEnd{ 200 };
 
-/** The JSON body of an upstream's announcement. */
+/** JSON body of an upstream's announcement. */
 struct AnnouncementBody
 {
   std::string service_;
@@ -61,7 +63,7 @@
   }
 };
 
-/** The JSON body of an upstream's goodbye; may be left out. */
+/** JSON body of an upstream's goodbye; optional. */
 struct GoodbyeBody
 {
   std::uint64_t incarnation_ = 0;
@@ -73,7 +75,7 @@
   }
 };
 
-/** Headers that belong to one connection and are not passed on. */
+/** Returns whether a header is hop-by-hop and must not be forwarded. */
 bool
 IsHopHeader(std::string_view aName)
 {
@@ -100,17 +102,19 @@
   return kept;
 }
 
-/** An entry that heartbeats go to. */
+/** Entry to which heartbeats are sent. */
 struct KnownEntry
 {
   SocketAddress address_;
-  /** Named by the settings: never forgotten. */
+  /** Whether the settings list the entry; such an entry is never removed. */
   bool fromSettings_ = false;
-  /** When it was last heard or named by another. */
+  /** Time of the latest message from the entry, or of the latest message of
+   * another entry that lists it. */
   Instant heardAt_;
 };
 
-/** Entries come and go with their hosts; one that is silent is forgotten. */
+/** Time without a message after which an entry is removed, because entries
+ * join and leave with their hosts. */
 constexpr Millis kForgetEntryAfter{ 60000 };
 constexpr std::size_t kMaxEntries = 256;
 
@@ -165,7 +169,7 @@
   Journal journal_;
   std::string class_;
   RequestMeter meter_{ Metrics::OfProcess() };
-  /** Null if the settings name no store. */
+  /** Null if the settings specify no object store. */
   std::unique_ptr<TableClient> store_;
   std::unique_ptr<JournalStore> journalStore_;
   SideCore core_;
@@ -181,15 +185,15 @@
   LinkId nextLink_ = 1;
   std::uint64_t sequence_ = 0;
   std::uint64_t badDatagrams_ = 0;
-  /** Connections ended for what they sent. */
+  /** Number of connections closed because of invalid messages. */
   std::uint64_t badLinks_ = 0;
   SideState loggedState_ = SideState::NoUpstream;
   bool stopping_ = false;
   Instant stopEarliest_;
-  /** When an entry last sent something. */
+  /** Time of the latest message from an entry. */
   Instant quietSince_;
   Instant stopDeadline_;
-  /** The bound came first, perhaps with attempts unfinished. */
+  /** Whether the stop timed out, possibly with unfinished attempts. */
   bool gaveUp_ = false;
   bool leftOver_ = false;
   std::function<void()> stopped_;
@@ -326,7 +330,8 @@
   }
 }
 
-/** Takes a higher and valid version; a side has no other way to learn one. */
+/** Applies a valid configuration with a higher version. Entries are a side's
+ * only source of configurations. */
 void
 SideProcess::Private::TakeConfiguration(const std::string& aText)
 {
@@ -475,9 +480,10 @@
     return;
   }
   const Instant now = ReadMonotonicClock();
-  // An answer that is still in this process's buffers when it ends never
-  // reaches the caller, and one that is on its way is lost if the connection is
-  // reset because a late dispatch arrived unread.
+  // Wait until the buffers are flushed and entries send no more messages: an
+  // answer in this process's buffers is lost when the process ends, and an
+  // answer in flight is lost if the connection is reset because a late dispatch
+  // was not read.
   const bool quiet = now >= quietSince_ + kQuietBeforeEnd;
   const bool flushed =
     std::all_of(links_.begin(), links_.end(), [](const auto& aLink) {
--- a/Source/Process/SideProcess.h
+++ b/Source/Process/SideProcess.h
@@ -9,9 +9,9 @@
 namespace cactusrail {
 
 /**
- * A side: the small process beside one upstream. It takes the upstream's
- * announcements, makes it known to every entry, and runs attempts at it. One
- * thread; all decisions are SideCore's. Owned by main.
+ * Process of a side, which runs beside one upstream. Receives the upstream's
+ * announcements, sends heartbeats to every entry, and dispatches attempts to
+ * the upstream. Single-threaded; SideCore makes all decisions. Owned by main.
  */
 class SideProcess
 {
@@ -20,10 +20,12 @@
     const SideSettings& aSettings);
   ~SideProcess();
 
-  /** Begins a planned stop; calls back when nothing is in flight any more. */
+  /** Begins a planned stop; calls back when the stop is complete or has timed
+   * out. */
   void Stop(std::function<void()> aDone);
 
-  /** Addresses as taken, for people and scripts: "link=IP:PORT ...". */
+  /** Returns the bound addresses for operators and scripts: "link=IP:PORT ...".
+   */
   std::string Describe() const;
 
 private:
--- a/Source/Process/SideSettings.h
+++ b/Source/Process/SideSettings.h
@@ -8,18 +8,18 @@
 
 namespace cactusrail {
 
-/** What a side process is told by its settings file. */
+/** Settings of a side process, read from its settings file. */
 struct SideSettings
 {
   std::string name_;
   std::string dataCentre_;
-  /** Where entries connect to. */
+  /** Address that entries connect to. */
   SocketAddress listen_;
-  /** Where the upstream announces itself; of this host only. */
+  /** Address for the upstream's announcements, on this host only. */
   SocketAddress announce_;
-  /** Membership addresses of entries to start with. */
+  /** Membership addresses of the initial entries. */
   std::vector<SocketAddress> entries_;
-  /** The platform's object store, for the journal; at most one. */
+  /** Address of the platform's object store for the journal; at most one. */
   std::vector<SocketAddress> store_;
   std::int64_t heartbeatMs_ = 0;
   std::int64_t maxQueued_ = 0;
--- a/Source/Process/WorkCommands.cxx
+++ b/Source/Process/WorkCommands.cxx
@@ -300,7 +300,7 @@
   // Send a repeated operation even if no job matches now: the entry returns the
   // first outcome.
   if (chosen.empty() && !aLine.Given("operation")) {
-    std::cerr << "The selector chose no job that is not over.\n";
+    std::cerr << "The selector matches no job that is still open.\n";
     return ExitCode::NotFound;
   }
   switch (ConfirmChoice(aLine, aVerb, chosen)) {
--- a/Source/Process/WorkPages.cxx
+++ b/Source/Process/WorkPages.cxx
@@ -191,8 +191,9 @@
   std::function<void(const std::vector<TableRow>&)> aCallback)
 {
   const auto fail = [aExchange](const Failure& aFailure) {
-    aExchange.Answer(OperatorError(
-      kUnavailable, "The jobs can't be read now: " + aFailure.message_));
+    aExchange.Answer(OperatorError(kUnavailable,
+                                   "The jobs can't be read from the table: " +
+                                     aFailure.message_));
   };
   // Read the open jobs first: a job that ends between the reads is then found
   // twice instead of missed.
--- a/Tests/Unit/EntryClientTest.cxx
+++ b/Tests/Unit/EntryClientTest.cxx
@@ -11,7 +11,8 @@
 
 namespace {
 
-/** An event loop, an entry that answers, and a count of what it was asked. */
+/** Event loop, an entry that responds, and the number of requests it received.
+ */
 class Bench
 {
 public:
@@ -51,7 +52,7 @@
   std::unique_ptr<HttpFront> front_;
 };
 
-/** A port where nobody listens. */
+/** Returns a port without a listener. */
 std::uint16_t
 ClosedPort()
 {
@@ -73,9 +74,9 @@
   cr_assert(bench.asked_ == 2);
 }
 
-// An operator drains a worker; the entry takes the command and dies before its
-// answer. Asked again through the next entry, the command would run twice, so
-// the operator is told that it may have been done.
+// Guards against sending a change twice. An entry receives a drain command and
+// dies before it responds; sent to the next entry, the command would run twice.
+// The client must report that the change may have been made.
 Test(EntryClient, AChangeThatMayHaveArrivedIsNotSentToAnotherEntry)
 {
   Bench bench;
