--- a/Source/Process/ConfigurationKeeper.cxx
+++ b/Source/Process/ConfigurationKeeper.cxx
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Millis kTick{ 100 };
+constexpr Millis kTickInterval{ 100 };
 constexpr Millis kTableTimeout{ 2000 };
 constexpr const char* kConfigKey = "config/current";
 
@@ -86,7 +86,7 @@
 void
 ConfigurationKeeper::Private::Do(const AskPeersForConfiguration&)
 {
-  peers_.Ask(directory_.Others());
+  peers_.RequestConfigurations(directory_.Others());
 }
 
 void
@@ -179,7 +179,7 @@
     self->Run(self->decision_.OnTick(ReadMonotonicClock()));
   };
   QObject::connect(&self->tick_, &QTimer::timeout, self, tick);
-  self->tick_.start(kTick);
+  self->tick_.start(kTickInterval);
   tick();
 }
 
--- a/Source/Process/ConfigurationPeers.cxx
+++ b/Source/Process/ConfigurationPeers.cxx
@@ -15,13 +15,13 @@
 namespace {
 
 constexpr Millis kPeerTimeout{ 2000 };
-constexpr Millis kPushEvery{ 1000 };
+constexpr Millis kPushInterval{ 1000 };
 /** Number of sides to query at a time. One valid answer is enough; querying
  * several sides tolerates sides that have just ended. */
-constexpr std::size_t kSidesAsked = 3;
+constexpr std::size_t kSidesPerQuery = 3;
 /** Maximum number of stored sides with a higher version; any of them can
  * provide it. */
-constexpr std::size_t kSidesKept = 64;
+constexpr std::size_t kMaxNewerSides = 64;
 
 }
 
@@ -36,8 +36,8 @@
 
   SideLink* Open(const std::string& aAddress, std::uint16_t aPort);
   void Push(const HeartbeatMessage& aSide);
-  void AskSide(const HeartbeatMessage& aSide);
-  void AskEntry(const EntryRecord& aEntry);
+  void QuerySide(const HeartbeatMessage& aSide);
+  void QueryEntry(const EntryRecord& aEntry);
 
   const ConfigurationHolder& holder_;
   OnText onText_;
@@ -46,7 +46,7 @@
   std::map<std::string, Instant> nextPush_;
   /** Sides whose latest heartbeat reported a higher version than the current
    * one, by side id. */
-  std::map<std::string, HeartbeatMessage> ahead_;
+  std::map<std::string, HeartbeatMessage> newerSides_;
 };
 
 SideLink*
@@ -68,7 +68,7 @@
   if (next > now) {
     return;
   }
-  next = now + kPushEvery;
+  next = now + kPushInterval;
   const std::shared_ptr<const Configuration> held = holder_.Current();
   ConfigMessage message;
   message.version_ = held->version_;
@@ -77,7 +77,7 @@
 }
 
 void
-ConfigurationPeers::Private::AskSide(const HeartbeatMessage& aSide)
+ConfigurationPeers::Private::QuerySide(const HeartbeatMessage& aSide)
 {
   SideLink* link = Open(aSide.address_, aSide.port_);
   connect(
@@ -92,7 +92,7 @@
 }
 
 void
-ConfigurationPeers::Private::AskEntry(const EntryRecord& aEntry)
+ConfigurationPeers::Private::QueryEntry(const EntryRecord& aEntry)
 {
   HttpCall call;
   call.method_ = "GET";
@@ -126,28 +126,29 @@
     self.nextPush_.erase(aHeartbeat.sideId_);
   }
   if (aHeartbeat.configVersion_ <= held) {
-    self.ahead_.erase(aHeartbeat.sideId_);
-  } else if (self.ahead_.size() < kSidesKept) {
-    self.ahead_[aHeartbeat.sideId_] = aHeartbeat;
+    self.newerSides_.erase(aHeartbeat.sideId_);
+  } else if (self.newerSides_.size() < kMaxNewerSides) {
+    self.newerSides_[aHeartbeat.sideId_] = aHeartbeat;
   }
 }
 
 void
-ConfigurationPeers::Ask(const std::vector<EntryRecord>& aEntries)
+ConfigurationPeers::RequestConfigurations(
+  const std::vector<EntryRecord>& aEntries)
 {
   Private& self = *private_;
   for (const EntryRecord& entry : aEntries) {
-    self.AskEntry(entry);
+    self.QueryEntry(entry);
   }
   std::size_t asked = 0;
-  for (const auto& [id, side] : self.ahead_) {
-    if (asked++ == kSidesAsked) {
+  for (const auto& [id, side] : self.newerSides_) {
+    if (asked++ == kSidesPerQuery) {
       break;
     }
-    self.AskSide(side);
+    self.QuerySide(side);
   }
   // Heartbeats add the sides that are still alive and ahead again.
-  self.ahead_.clear();
+  self.newerSides_.clear();
 }
 
 }
--- a/Source/Process/ConfigurationPeers.h
+++ b/Source/Process/ConfigurationPeers.h
@@ -28,7 +28,7 @@
 
   /** Requests the configuration from the entries and from some sides that
    * report a higher version. */
-  void Ask(const std::vector<EntryRecord>& aEntries);
+  void RequestConfigurations(const std::vector<EntryRecord>& aEntries);
 
 private:
   class Private;
--- a/Source/Process/EntryClient.cxx
+++ b/Source/Process/EntryClient.cxx
@@ -79,8 +79,7 @@
   }
   return aReply.status_ == kNotFound
            ? "No process that could be asked has a record of it: the record is "
-             "older "
-             "than the retained history, or the hosts were replaced."
+             "older than the retained history, or the hosts were replaced."
            : aReply.body_;
 }
 
--- a/Source/Process/EntryDirectory.cxx
+++ b/Source/Process/EntryDirectory.cxx
@@ -42,7 +42,7 @@
   // while the table service is down, no row is refreshed, and no entry may be
   // removed because of the outage.
   for (const auto& [name, known] : known_) {
-    if (known.changedAt_ + kEntrySilence > newest) {
+    if (known.changedAt_ + kEntryTimeout > newest) {
       others.push_back(known.record_);
     }
   }
--- a/Source/Process/EntryDirectory.h
+++ b/Source/Process/EntryDirectory.h
@@ -36,15 +36,15 @@
 /**
  * List of the other entries, built from the rows that each entry refreshes in
  * the table service. An entry counts as gone if its row is at least
- * kEntrySilence older than the latest change of another entry's row. While the
+ * kEntryTimeout older than the latest change of another entry's row. While the
  * table service is down, no entry is removed. Performs no I/O; used in one
  * thread.
  */
 class EntryDirectory
 {
 public:
-  static constexpr Millis kRefreshEvery{ 10000 };
-  static constexpr Millis kEntrySilence{ 35000 };
+  static constexpr Millis kRefreshInterval{ 10000 };
+  static constexpr Millis kEntryTimeout{ 35000 };
 
   explicit EntryDirectory(std::string aOwnName);
 
--- a/Source/Process/EntryPresence.cxx
+++ b/Source/Process/EntryPresence.cxx
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr Millis kTableTimeout{ 2000 };
-/** Delay before the second refresh, shorter than kRefreshEvery so that entries
- * that start at the same time find each other. */
-constexpr Millis kFirstRepeat{ 1000 };
+/** Delay before the second refresh, shorter than kRefreshInterval so that
+ * entries that start at the same time find each other. */
+constexpr Millis kSecondRefreshDelay{ 1000 };
 constexpr const char* kPrefix = "entry/";
 
 }
@@ -67,9 +67,9 @@
   self->own_ = aOwn;
   QObject::connect(
     &self->repeat_, &QTimer::timeout, self, [self] { self->Refresh(); });
-  self->repeat_.start(EntryDirectory::kRefreshEvery);
+  self->repeat_.start(EntryDirectory::kRefreshInterval);
   self->Refresh();
-  QTimer::singleShot(kFirstRepeat, self, [self] { self->Refresh(); });
+  QTimer::singleShot(kSecondRefreshDelay, self, [self] { self->Refresh(); });
 }
 
 const EntryDirectory&
--- a/Source/Process/EntryProcess.cxx
+++ b/Source/Process/EntryProcess.cxx
@@ -31,7 +31,7 @@
 
 constexpr Millis kStopCheck{ 50 };
 /** Time after the stop timeout to send the answers for abandoned requests. */
-constexpr Millis kLastAnswers{ 1000 };
+constexpr Millis kFinalAnswerTimeout{ 1000 };
 
 }
 
@@ -102,8 +102,8 @@
   Instant stopDeadline_;
   /** Whether the stop timed out, and the number of requests that were answered
    * unfinished. */
-  bool gaveUp_ = false;
-  std::size_t givenUp_ = 0;
+  bool stopTimedOut_ = false;
+  std::size_t unfinishedRequests_ = 0;
   std::function<void()> stopped_;
 };
 
@@ -162,10 +162,10 @@
       }
       return known;
     },
-    [this](const HeartbeatMessage& aHeartbeat, Instant aHeardAt) {
+    [this](const HeartbeatMessage& aHeartbeat, Instant aReceivedAt) {
       keeper_.OnHeartbeat(aHeartbeat);
       for (const std::unique_ptr<Lane>& lane : lanes_) {
-        lane->Observe(aHeartbeat, aHeardAt);
+        lane->Observe(aHeartbeat, aReceivedAt);
       }
     });
   if (const auto* failure = std::get_if<Failure>(&opened)) {
@@ -265,10 +265,10 @@
     journalStore_.WriteAll();
     finished = journalStore_.Idle();
   }
-  if (!finished && now >= stopDeadline_ && !gaveUp_) {
-    gaveUp_ = true;
-    givenUp_ = open;
-    stopDeadline_ = now + kLastAnswers;
+  if (!finished && now >= stopDeadline_ && !stopTimedOut_) {
+    stopTimedOut_ = true;
+    unfinishedRequests_ = open;
+    stopDeadline_ = now + kFinalAnswerTimeout;
     for (const std::unique_ptr<Lane>& lane : lanes_) {
       lane->GiveUpAll();
     }
@@ -278,7 +278,8 @@
     return;
   }
   stopCheck_.stop();
-  LogChange("stopped", { { "in-flight-left", std::to_string(givenUp_) } });
+  LogChange("stopped",
+            { { "in-flight-left", std::to_string(unfinishedRequests_) } });
   std::exchange(stopped_, nullptr)();
 }
 
--- a/Source/Process/ExplainCommand.cxx
+++ b/Source/Process/ExplainCommand.cxx
@@ -73,7 +73,9 @@
 /** Requests a page from an entry and returns its body. Prints a failure and
  * returns none. */
 std::optional<std::string>
-AskPage(const CommandLine& aLine, const std::string& aTarget, ExitCode& aCode)
+RequestPage(const CommandLine& aLine,
+            const std::string& aTarget,
+            ExitCode& aCode)
 {
   const Result<EntryClient> client = EntryClient::Make(aLine);
   if (const auto* failure = std::get_if<Failure>(&client)) {
@@ -104,7 +106,7 @@
     QUrl::toPercentEncoding(QString::fromStdString(id)).toStdString();
   ExitCode code = ExitCode::Done;
   const std::optional<std::string> body =
-    AskPage(aLine, ExplainPage(id) + "?id=" + escaped, code);
+    RequestPage(aLine, ExplainPage(id) + "?id=" + escaped, code);
   if (!body.has_value()) {
     return code;
   }
@@ -131,7 +133,7 @@
 PrintSides(const CommandLine& aLine)
 {
   ExitCode code = ExitCode::Done;
-  const std::optional<std::string> body = AskPage(aLine, "/v1/sides", code);
+  const std::optional<std::string> body = RequestPage(aLine, "/v1/sides", code);
   if (body.has_value()) {
     std::cout << *body;
   }
--- a/Source/Process/Explainer.cxx
+++ b/Source/Process/Explainer.cxx
@@ -28,14 +28,14 @@
 constexpr Millis kStoreTimeout{ 3000 };
 /** Number of slots of a lost entry in one window, which are read together, and
  * the maximum number of windows. */
-constexpr std::uint64_t kSlotsAtOnce = 8;
+constexpr std::uint64_t kSlotsPerWindow = 8;
 constexpr std::uint64_t kMaxWindows = 4;
 /** Number of slots of a lost side to read, starting at the slot of the step
  * that names the side. */
 constexpr std::uint64_t kSideSlotsRead = 2;
 /** Maximum number of sides to query if no step names a side. The limit keeps
  * one request from flooding all sides. */
-constexpr std::size_t kMaxSidesAsked = 64;
+constexpr std::size_t kMaxSidesQueried = 64;
 constexpr std::string_view kSidePrefix = "side/";
 
 /** Steps of one request, in the response to operators and other entries. */
@@ -52,7 +52,7 @@
 
 /** State of one explain request while queries to other processes are in flight.
  */
-struct Question
+struct ExplainQuery
 {
   HttpExchange exchange_;
   std::string id_;
@@ -69,7 +69,7 @@
     }
   }
 
-  void Take(const std::vector<RequestStep>& aSteps)
+  void AddSteps(const std::vector<RequestStep>& aSteps)
   {
     std::copy_if(
       aSteps.begin(),
@@ -84,7 +84,7 @@
   }
 };
 
-using SharedQuestion = std::shared_ptr<Question>;
+using SharedExplainQuery = std::shared_ptr<ExplainQuery>;
 
 /** Returns the name of the side at the end of a step's detail; empty if the
  * detail names no side. */
@@ -117,14 +117,15 @@
 
   void Explain(const HttpExchange& aExchange);
   void Recall(const HttpExchange& aExchange) const;
-  void AskEntries(const SharedQuestion& aQuestion);
-  void ReadLostEntry(const SharedQuestion& aQuestion);
-  void AskSides(const SharedQuestion& aQuestion);
-  void ReadLostSides(const SharedQuestion& aQuestion);
-  static void Answer(const SharedQuestion& aQuestion);
-  void AskEntry(const EntryRecord& aEntry, const SharedQuestion& aQuestion);
-  void AskSide(const HeartbeatMessage& aSide, const SharedQuestion& aQuestion);
-  void ReadSegment(const std::string& aName, const SharedQuestion& aQuestion);
+  void QueryEntries(const SharedExplainQuery& aQuery);
+  void ReadLostEntry(const SharedExplainQuery& aQuery);
+  void QuerySides(const SharedExplainQuery& aQuery);
+  void ReadLostSides(const SharedExplainQuery& aQuery);
+  static void Answer(const SharedExplainQuery& aQuery);
+  void QueryEntry(const EntryRecord& aEntry, const SharedExplainQuery& aQuery);
+  void QuerySide(const HeartbeatMessage& aSide,
+                 const SharedExplainQuery& aQuery);
+  void ReadSegment(const std::string& aName, const SharedExplainQuery& aQuery);
 
   const Journal& journal_;
   const MembershipListener& membership_;
@@ -136,10 +137,10 @@
 void
 Explainer::Private::Explain(const HttpExchange& aExchange)
 {
-  auto question = std::make_shared<Question>(
-    Question{ aExchange, aExchange.Query("id"), {}, 0, 0, nullptr });
-  question->steps_ = journal_.Recall(question->id_);
-  AskEntries(question);
+  auto query = std::make_shared<ExplainQuery>(
+    ExplainQuery{ aExchange, aExchange.Query("id"), {}, 0, 0, nullptr });
+  query->steps_ = journal_.Recall(query->id_);
+  QueryEntries(query);
 }
 
 void
@@ -152,37 +153,37 @@
 }
 
 void
-Explainer::Private::AskEntries(const SharedQuestion& aQuestion)
+Explainer::Private::QueryEntries(const SharedExplainQuery& aQuery)
 {
-  aQuestion->open_ = 1;
-  aQuestion->next_ = [this, aQuestion] { ReadLostEntry(aQuestion); };
+  aQuery->open_ = 1;
+  aQuery->next_ = [this, aQuery] { ReadLostEntry(aQuery); };
   for (const EntryRecord& entry : directory_.Others()) {
-    AskEntry(entry, aQuestion);
+    QueryEntry(entry, aQuery);
   }
-  aQuestion->Done();
+  aQuery->Done();
 }
 
 void
-Explainer::Private::AskEntry(const EntryRecord& aEntry,
-                             const SharedQuestion& aQuestion)
+Explainer::Private::QueryEntry(const EntryRecord& aEntry,
+                               const SharedExplainQuery& aQuery)
 {
-  ++aQuestion->open_;
+  ++aQuery->open_;
   HttpCall call;
   call.method_ = "GET";
-  call.url_ = "http://" + aEntry.operators_ + "/v1/recall?id=" +
-              QUrl::toPercentEncoding(QString::fromStdString(aQuestion->id_))
-                .toStdString();
+  call.url_ =
+    "http://" + aEntry.operators_ + "/v1/recall?id=" +
+    QUrl::toPercentEncoding(QString::fromStdString(aQuery->id_)).toStdString();
   call.deadline_ = ReadMonotonicClock() + kRecallTimeout;
   SignCall(call);
-  caller_.Start(std::move(call), [aQuestion](const Result<HttpReply>& aReply) {
+  caller_.Start(std::move(call), [aQuery](const Result<HttpReply>& aReply) {
     const auto* reply = std::get_if<HttpReply>(&aReply);
     if (reply != nullptr) {
       const auto read = FromJson<StepList>(reply->body_);
       const auto* list = std::get_if<StepList>(&read);
-      aQuestion->Take(list == nullptr ? std::vector<RequestStep>()
-                                      : list->steps_);
+      aQuery->AddSteps(list == nullptr ? std::vector<RequestStep>()
+                                       : list->steps_);
     }
-    aQuestion->Done();
+    aQuery->Done();
   });
 }
 
@@ -193,63 +194,63 @@
  * kMaxWindows is reached.
  */
 void
-Explainer::Private::ReadLostEntry(const SharedQuestion& aQuestion)
+Explainer::Private::ReadLostEntry(const SharedExplainQuery& aQuery)
 {
-  aQuestion->open_ = 1;
-  aQuestion->next_ = [this, aQuestion] { AskSides(aQuestion); };
-  std::optional<RequestOrigin> origin = ReadRequestId(aQuestion->id_);
+  aQuery->open_ = 1;
+  aQuery->next_ = [this, aQuery] { QuerySides(aQuery); };
+  std::optional<RequestOrigin> origin = ReadRequestId(aQuery->id_);
   const bool isRemembered =
-    origin.has_value() && aQuestion->windows_ == 0 &&
-    std::any_of(aQuestion->steps_.begin(),
-                aQuestion->steps_.end(),
+    origin.has_value() && aQuery->windows_ == 0 &&
+    std::any_of(aQuery->steps_.begin(),
+                aQuery->steps_.end(),
                 [&origin](const RequestStep& aStep) {
                   return aStep.host_ == "entry/" + origin->entry_;
                 });
-  const bool hasWindows = aQuestion->windows_ < kMaxWindows;
+  const bool hasWindows = aQuery->windows_ < kMaxWindows;
   if (!origin.has_value() || isRemembered || !hasWindows ||
-      aQuestion->IsConcluded()) {
-    aQuestion->Done();
+      aQuery->IsConcluded()) {
+    aQuery->Done();
     return;
   }
-  aQuestion->next_ = [this, aQuestion] { ReadLostEntry(aQuestion); };
-  origin->slot_ += aQuestion->windows_ * kSlotsAtOnce;
-  ++aQuestion->windows_;
+  aQuery->next_ = [this, aQuery] { ReadLostEntry(aQuery); };
+  origin->slot_ += aQuery->windows_ * kSlotsPerWindow;
+  ++aQuery->windows_;
   const std::uint64_t now =
     SlotOf(ReadWallClock(), origin->incarnation_, kEntrySlot);
-  for (std::uint64_t i = 0; i < kSlotsAtOnce && origin->slot_ <= now; ++i) {
-    ReadSegment(EntrySegmentName(*origin), aQuestion);
+  for (std::uint64_t i = 0; i < kSlotsPerWindow && origin->slot_ <= now; ++i) {
+    ReadSegment(EntrySegmentName(*origin), aQuery);
     ++origin->slot_;
   }
   if (origin->slot_ > now) {
-    aQuestion->windows_ = kMaxWindows;
+    aQuery->windows_ = kMaxWindows;
   }
-  aQuestion->Done();
+  aQuery->Done();
 }
 
 void
 Explainer::Private::ReadSegment(const std::string& aName,
-                                const SharedQuestion& aQuestion)
+                                const SharedExplainQuery& aQuery)
 {
-  ++aQuestion->open_;
+  ++aQuery->open_;
   store_.GetObject(
     aName,
     ReadMonotonicClock() + kStoreTimeout,
-    [aQuestion](const Result<std::optional<std::string>>& aResult) {
+    [aQuery](const Result<std::optional<std::string>>& aResult) {
       const auto* found = std::get_if<std::optional<std::string>>(&aResult);
       if (found != nullptr && found->has_value()) {
-        aQuestion->Take(cactusrail::ReadSegment(**found, aQuestion->id_));
+        aQuery->AddSteps(cactusrail::ReadSegment(**found, aQuery->id_));
       }
-      aQuestion->Done();
+      aQuery->Done();
     });
 }
 
 void
-Explainer::Private::AskSides(const SharedQuestion& aQuestion)
+Explainer::Private::QuerySides(const SharedExplainQuery& aQuery)
 {
-  aQuestion->open_ = 1;
-  aQuestion->next_ = [this, aQuestion] { ReadLostSides(aQuestion); };
+  aQuery->open_ = 1;
+  aQuery->next_ = [this, aQuery] { ReadLostSides(aQuery); };
   std::set<std::string> named;
-  for (const RequestStep& step : aQuestion->steps_) {
+  for (const RequestStep& step : aQuery->steps_) {
     named.insert(NamedSide(step));
   }
   named.erase("");
@@ -257,42 +258,42 @@
   for (const SideView& side : membership_.View().All()) {
     const bool wanted =
       named.empty() || named.contains(side.heartbeat_.sideId_);
-    if (wanted && asked++ < kMaxSidesAsked) {
-      AskSide(side.heartbeat_, aQuestion);
+    if (wanted && asked++ < kMaxSidesQueried) {
+      QuerySide(side.heartbeat_, aQuery);
     }
   }
-  aQuestion->Done();
+  aQuery->Done();
 }
 
 void
-Explainer::Private::AskSide(const HeartbeatMessage& aSide,
-                            const SharedQuestion& aQuestion)
+Explainer::Private::QuerySide(const HeartbeatMessage& aSide,
+                              const SharedExplainQuery& aQuery)
 {
-  ++aQuestion->open_;
+  ++aQuery->open_;
   auto* link = new SideLink(aSide.address_, aSide.port_, this);
   RecallMessage recall;
-  recall.requestId_ = aQuestion->id_;
+  recall.requestId_ = aQuery->id_;
   link->Send(recall);
   auto* timer = new QTimer(link);
   timer->setSingleShot(true);
-  const auto finish = [link, timer, aQuestion] {
+  const auto finish = [link, timer, aQuery] {
     timer->disconnect();
     link->disconnect();
     link->deleteLater();
-    aQuestion->Done();
+    aQuery->Done();
   };
   connect(timer, &QTimer::timeout, this, finish);
   connect(link, &SideLink::Lost, this, finish, Qt::QueuedConnection);
   connect(link,
           &SideLink::Received,
           this,
-          [aQuestion, finish](const WireMessage& aMessage) {
+          [aQuery, finish](const WireMessage& aMessage) {
             const auto* memory = std::get_if<RecollectionMessage>(&aMessage);
             if (memory == nullptr) {
               return;
             }
             for (const std::string& text : memory->steps_) {
-              aQuestion->Take(cactusrail::ReadSegment(text));
+              aQuery->AddSteps(cactusrail::ReadSegment(text));
             }
             finish();
           });
@@ -302,17 +303,17 @@
 /** Reads the stored segments of each side that a step names but that returned
  * no steps. Such a side is gone or was restarted. */
 void
-Explainer::Private::ReadLostSides(const SharedQuestion& aQuestion)
+Explainer::Private::ReadLostSides(const SharedExplainQuery& aQuery)
 {
-  aQuestion->open_ = 1;
-  aQuestion->next_ = [aQuestion] { Answer(aQuestion); };
+  aQuery->open_ = 1;
+  aQuery->next_ = [aQuery] { Answer(aQuery); };
   std::set<std::string> heard;
-  for (const RequestStep& step : aQuestion->steps_) {
+  for (const RequestStep& step : aQuery->steps_) {
     heard.insert(step.host_);
   }
   const std::uint64_t now = SlotOf(ReadWallClock(), 0, kSideSlot);
   std::set<std::string> objects;
-  for (const RequestStep& step : aQuestion->steps_) {
+  for (const RequestStep& step : aQuery->steps_) {
     const std::string side = NamedSide(step);
     if (side.empty() || heard.contains(std::string(kSidePrefix) + side)) {
       continue;
@@ -324,19 +325,19 @@
     }
   }
   for (const std::string& object : objects) {
-    ReadSegment(object, aQuestion);
+    ReadSegment(object, aQuery);
   }
-  aQuestion->Done();
+  aQuery->Done();
 }
 
 void
-Explainer::Private::Answer(const SharedQuestion& aQuestion)
+Explainer::Private::Answer(const SharedExplainQuery& aQuery)
 {
-  StepList list{ SortedSteps(std::move(aQuestion->steps_)) };
+  StepList list{ SortedSteps(std::move(aQuery->steps_)) };
   HttpAnswer answer;
   answer.status_ = list.steps_.empty() ? 404 : 200;
   answer.body_ = ToJson(list) + "\n";
-  aQuestion->exchange_.Answer(answer);
+  aQuery->exchange_.Answer(answer);
 }
 
 Explainer::Explainer(const Journal& aJournal,
--- a/Source/Process/Journal.cxx
+++ b/Source/Process/Journal.cxx
@@ -35,7 +35,7 @@
   // Read the clock under the lock: after TakeNew(time), no step from before
   // that time can be added.
   aStep.wallMicros_ = ReadWallClock();
-  if (keepNew_ && shard.new_.size() < kMaxNew) {
+  if (collectNew_ && shard.new_.size() < kMaxNew) {
     shard.new_.push_back(aStep);
   }
   auto [place, isNew] = shard.steps_.try_emplace(aStep.requestId_);
@@ -67,7 +67,7 @@
 void
 Journal::KeepNew()
 {
-  keepNew_ = true;
+  collectNew_ = true;
 }
 
 std::vector<RequestStep>
--- a/Source/Process/Journal.h
+++ b/Source/Process/Journal.h
@@ -62,7 +62,7 @@
   const Shard& ShardOf(std::string_view aRequestId) const;
 
   std::string host_;
-  std::atomic<bool> keepNew_{ false };
+  std::atomic<bool> collectNew_{ false };
   std::size_t maxRequestsPerShard_;
   std::array<Shard, kShards> shards_;
 };
--- a/Source/Process/JournalStore.cxx
+++ b/Source/Process/JournalStore.cxx
@@ -16,9 +16,9 @@
 
 namespace {
 
-constexpr Millis kCheck{ 200 };
+constexpr Millis kCheckInterval{ 200 };
 constexpr Millis kStoreTimeout{ 3000 };
-constexpr Millis kRetryAfter{ 1000 };
+constexpr Millis kRetryDelay{ 1000 };
 constexpr std::size_t kMaxWaitingBytes = 16U << 20U;
 
 struct Segment
@@ -65,7 +65,7 @@
   Segment written_;
   std::size_t waitingBytes_ = 0;
   bool writing_ = false;
-  Instant notBefore_;
+  Instant retryAt_;
   QTimer check_;
   JournalStoreCounts counts_;
 };
@@ -120,7 +120,7 @@
 void
 JournalStore::Private::WriteNext()
 {
-  if (writing_ || waiting_.empty() || notBefore_ > ReadMonotonicClock()) {
+  if (writing_ || waiting_.empty() || retryAt_ > ReadMonotonicClock()) {
     return;
   }
   writing_ = true;
@@ -142,7 +142,7 @@
                      if (found == nullptr) {
                        writing_ = false;
                        ++counts_.failed_;
-                       notBefore_ = ReadMonotonicClock() + kRetryAfter;
+                       retryAt_ = ReadMonotonicClock() + kRetryDelay;
                        return;
                      }
                      Put(found->value_or(std::string()));
@@ -161,7 +161,7 @@
                      writing_ = false;
                      if (!Succeeded(aResult)) {
                        ++counts_.failed_;
-                       notBefore_ = ReadMonotonicClock() + kRetryAfter;
+                       retryAt_ = ReadMonotonicClock() + kRetryDelay;
                        return;
                      }
                      ++counts_.written_;
@@ -202,7 +202,7 @@
   self->openSlot_ = self->SlotNow();
   QObject::connect(
     &self->check_, &QTimer::timeout, self, [self] { self->Check(); });
-  self->check_.start(kCheck);
+  self->check_.start(kCheckInterval);
 }
 
 void
--- a/Source/Process/MembershipListener.cxx
+++ b/Source/Process/MembershipListener.cxx
@@ -20,9 +20,9 @@
 {
 public:
   void OnDatagram();
-  void Take(const HeartbeatMessage& aHeartbeat,
-            const QHostAddress& aFrom,
-            quint16 aFromPort);
+  void HandleHeartbeat(const HeartbeatMessage& aHeartbeat,
+                       const QHostAddress& aFrom,
+                       quint16 aFromPort);
   std::string Table() const;
 
   std::string entryName_;
@@ -57,14 +57,14 @@
       ++badDatagrams_;
       continue;
     }
-    Take(*heartbeat, from, fromPort);
+    HandleHeartbeat(*heartbeat, from, fromPort);
   }
 }
 
 void
-MembershipListener::Private::Take(const HeartbeatMessage& aHeartbeat,
-                                  const QHostAddress& aFrom,
-                                  quint16 aFromPort)
+MembershipListener::Private::HandleHeartbeat(const HeartbeatMessage& aHeartbeat,
+                                             const QHostAddress& aFrom,
+                                             quint16 aFromPort)
 {
   const Instant now = ReadMonotonicClock();
   const MembershipChange change = view_.Observe(aHeartbeat, now);
--- a/Source/Process/MembershipListener.h
+++ b/Source/Process/MembershipListener.h
@@ -21,7 +21,7 @@
 {
 public:
   using OnHeartbeat =
-    std::function<void(const HeartbeatMessage&, Instant aHeardAt)>;
+    std::function<void(const HeartbeatMessage&, Instant aReceivedAt)>;
   using ConfigVersion = std::function<std::uint64_t()>;
   /** Returns the "IP:port" of the other entries' membership sockets. */
   using KnownEntries = std::function<std::vector<std::string>()>;
--- a/Source/Process/MembershipView.cxx
+++ b/Source/Process/MembershipView.cxx
@@ -6,7 +6,7 @@
 
 /** Time for which operators can still read the last state of an unusable side.
  */
-constexpr Millis kForgetAfter{ 60000 };
+constexpr Millis kSideRetention{ 60000 };
 
 }
 
@@ -73,7 +73,7 @@
 {
   std::vector<std::string> forgotten;
   for (auto place = sides_.begin(); place != sides_.end();) {
-    if (place->second.usableUntil_ + kForgetAfter < aNow) {
+    if (place->second.usableUntil_ + kSideRetention < aNow) {
       forgotten.push_back(place->first);
       place = sides_.erase(place);
     } else {
--- a/Source/Process/Scheduler.cxx
+++ b/Source/Process/Scheduler.cxx
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr Millis kTick{ 100 };
+constexpr Millis kTickInterval{ 100 };
 
 Result<WorkerReport>
 ReadReport(const Result<HttpReply>& aReply)
@@ -44,7 +44,7 @@
   }
 
   void Tick();
-  void TakeQuotas();
+  void ApplyQuotas();
   void Perform();
   void Do(const ReadRowsAction& aAction);
   void Do(const TransactAction& aAction);
@@ -64,7 +64,7 @@
 };
 
 void
-Scheduler::Private::TakeQuotas()
+Scheduler::Private::ApplyQuotas()
 {
   const auto configuration = configuration_.Current();
   if (configuration->version_ == quotaVersion_) {
@@ -83,7 +83,7 @@
 void
 Scheduler::Private::Tick()
 {
-  TakeQuotas();
+  ApplyQuotas();
   core_.Tick(ReadMonotonicClock());
   Perform();
   LogCells();
@@ -175,7 +175,7 @@
   Private* self = private_.get();
   QObject::connect(
     &self->tick_, &QTimer::timeout, self, [self] { self->Tick(); });
-  self->tick_.start(kTick);
+  self->tick_.start(kTickInterval);
   self->Tick();
 }
 
--- a/Source/Process/SchedulerCore.cxx
+++ b/Source/Process/SchedulerCore.cxx
@@ -16,10 +16,10 @@
 namespace {
 
 constexpr std::size_t kMaxPlacementsPerWrite = 64;
-constexpr Millis kRepeatCommand{ 500 };
+constexpr Millis kCommandRetryInterval{ 500 };
 /** Number of missed poll intervals after which the table counts as having been
  * down. */
-constexpr int kPollsMissed = 4;
+constexpr int kMaxMissedPolls = 4;
 constexpr std::array<const char*, 4> kPolled{ kWorkerPrefix,
                                               kCellPrefix,
                                               kJobPrefix,
@@ -66,24 +66,24 @@
   bool granted_ = false;
   /** Time at which the worker's clock has certainly passed every deadline that
    * this entry granted. */
-  Instant ownGrantOver_;
-  /** Same as ownGrantOver_, for deadlines that earlier owners may have granted.
+  Instant ownGrantEnd_;
+  /** Same as ownGrantEnd_, for deadlines that earlier owners may have granted.
    */
-  Instant foreignGrantOver_;
+  Instant foreignGrantEnd_;
   std::optional<EndedTask> ended_;
   std::string checkpoint_;
   bool evict_ = false;
   /** Whether the end of the task is in the journal. */
-  bool noted_ = false;
+  bool endJournaled_ = false;
   /** Earliest time to repeat a start or stop command. */
-  Instant commandAfter_;
+  Instant nextCommandAt_;
 };
 
 struct JobView
 {
   JobRow row_;
   std::uint64_t revision_ = 0;
-  Instant learnedAt_;
+  Instant updatedAt_;
   /** Whether a write of this entry that changes the job is in flight. */
   bool busy_ = false;
 };
@@ -124,7 +124,7 @@
   CellRow next_;
   std::map<std::string, JobRow> jobs_;
   std::vector<TaskRef> placed_;
-  std::vector<std::pair<TaskRef, RequestStep>> notes_;
+  std::vector<std::pair<TaskRef, RequestStep>> placementSteps_;
   std::uint64_t releases_ = 0;
   std::uint64_t losses_ = 0;
   Instant sentAt_;
@@ -138,10 +138,10 @@
 };
 
 RequestStep
-MakeNote(const TaskRef& aTask,
-         std::string aStep,
-         Verdict aVerdict,
-         std::string aDetail)
+MakeTaskStep(const TaskRef& aTask,
+             std::string aStep,
+             Verdict aVerdict,
+             std::string aDetail)
 {
   RequestStep note;
   note.requestId_ = aTask.taskId_;
@@ -169,26 +169,26 @@
 
   // Reads of the table.
   void Poll(Instant aNow);
-  void TakeWorkers(const std::vector<TableRow>& aRows);
-  void TakeCells(const std::vector<TableRow>& aRows,
-                 bool aCertain,
-                 Instant aNow);
-  void WatchAfterGap(Instant aNow);
-  void TakeJobs(const std::vector<TableRow>& aRows,
-                Instant aSentAt,
-                Instant aNow);
-  void TakeJob(const TableRow& aRow, bool aCertain, Instant aNow);
-  void TakeEntries(const std::vector<TableRow>& aRows, Instant aNow);
+  void ApplyWorkerRows(const std::vector<TableRow>& aRows);
+  void ApplyCellRows(const std::vector<TableRow>& aRows,
+                     bool aCertain,
+                     Instant aNow);
+  void RestartWatchAfterOutage(Instant aNow);
+  void ApplyJobRows(const std::vector<TableRow>& aRows,
+                    Instant aSentAt,
+                    Instant aNow);
+  void ApplyJobRow(const TableRow& aRow, bool aCertain, Instant aNow);
+  void ApplyEntryRows(const std::vector<TableRow>& aRows, Instant aNow);
   CellView& CellOf(const std::string& aName);
   void Sync(CellView& aCell, const std::vector<TaskRef>* aPlaced, Instant aNow);
 
   // Ownership of cells.
   std::size_t RankFor(const std::string& aCell,
-                      Micros aSilence,
+                      Micros aTimeout,
                       Instant aNow) const;
   void StepCell(const std::string& aName, CellView& aCell, Instant aNow);
-  void Take(const std::string& aName, CellView& aCell, Instant aNow);
-  bool WantsHandOver(const std::string& aName, CellView& aCell, Instant aNow);
+  void AcquireCell(const std::string& aName, CellView& aCell, Instant aNow);
+  bool ShouldHandOver(const std::string& aName, CellView& aCell, Instant aNow);
   void Write(const std::string& aName, CellView& aCell, Instant aNow);
   void Send(PendingWrite aWrite, CellView& aCell, Instant aNow);
   void FinishWrite(const PendingWrite& aWrite,
@@ -203,12 +203,12 @@
                    CellLedger& aLedger,
                    PendingWrite& aWrite,
                    Instant aNow);
-  void NoteEnd(const TaskRef& aRef,
-               const Reservation& aReservation,
-               TaskEnd aEnd,
-               const std::string& aCheckpoint,
-               Verdict aVerdict,
-               CellView& aCell);
+  void JournalEnd(const TaskRef& aRef,
+                  const Reservation& aReservation,
+                  TaskEnd aEnd,
+                  const std::string& aCheckpoint,
+                  Verdict aVerdict,
+                  CellView& aCell);
   std::optional<TaskEnd> EndOf(const CellView& aCell,
                                const Reservation& aReservation,
                                Instant aNow) const;
@@ -217,12 +217,12 @@
                          CellLedger& aLedger,
                          PendingWrite& aWrite,
                          Instant aNow);
-  bool PlaceOne(const std::string& aName,
-                std::vector<WorkerFacts>& aFacts,
-                CellLedger& aLedger,
-                JobLedger& aJob,
-                PendingWrite& aWrite,
-                Instant aNow);
+  bool PlaceTask(const std::string& aName,
+                 std::vector<WorkerFacts>& aFacts,
+                 CellLedger& aLedger,
+                 JobLedger& aJob,
+                 PendingWrite& aWrite,
+                 Instant aNow);
   std::vector<WorkerFacts> FactsFor(const std::string& aCell,
                                     const CellView& aView,
                                     const CellLedger& aLedger,
@@ -246,17 +246,19 @@
                                          WorkerView& aWorker,
                                          Instant aNow);
   WorkerCommand Renewal(CellView& aCell, WorkerView& aWorker);
-  void Hear(const PendingCall& aCall,
-            const WorkerReport& aReport,
-            Instant aNow);
-  void HearTask(CellView& aCell,
-                const Reservation& aReservation,
-                const WorkerView& aWorker,
-                Instant aNow);
-  void TeachUsage(const CellRow& aRow, const WorkerView& aWorker, Instant aNow);
-  bool WantsStopped(const CellView& aCell,
-                    const Reservation& aReservation,
-                    const HeldTask& aHeld) const;
+  void HandleReport(const PendingCall& aCall,
+                    const WorkerReport& aReport,
+                    Instant aNow);
+  void HandleTaskReport(CellView& aCell,
+                        const Reservation& aReservation,
+                        const WorkerView& aWorker,
+                        Instant aNow);
+  void ForwardUsage(const CellRow& aRow,
+                    const WorkerView& aWorker,
+                    Instant aNow);
+  bool ShouldStop(const CellView& aCell,
+                  const Reservation& aReservation,
+                  const HeldTask& aHeld) const;
   CommandOrigin OriginFor(const std::string& aCell,
                           const CellView& aView,
                           const WorkerView& aWorker) const;
@@ -298,7 +300,7 @@
 }
 
 void
-SchedulerCore::Private::TakeWorkers(const std::vector<TableRow>& aRows)
+SchedulerCore::Private::ApplyWorkerRows(const std::vector<TableRow>& aRows)
 {
   for (const TableRow& row : aRows) {
     std::uint64_t& known = workerRevisions_[row.key_];
@@ -325,9 +327,9 @@
 }
 
 void
-SchedulerCore::Private::TakeCells(const std::vector<TableRow>& aRows,
-                                  bool aCertain,
-                                  Instant aNow)
+SchedulerCore::Private::ApplyCellRows(const std::vector<TableRow>& aRows,
+                                      bool aCertain,
+                                      Instant aNow)
 {
   const std::size_t prefix = std::string_view(kCellPrefix).size();
   for (const TableRow& row : aRows) {
@@ -350,9 +352,9 @@
  * all owners, and each new owner would wait until the former owner's grants
  * expire. The owners therefore get a whole lease to renew first. */
 void
-SchedulerCore::Private::WatchAfterGap(Instant aNow)
+SchedulerCore::Private::RestartWatchAfterOutage(Instant aNow)
 {
-  if (aNow > cellsReadAt_ + kPollsMissed * timings_.pollEvery_) {
+  if (aNow > cellsReadAt_ + kMaxMissedPolls * timings_.pollEvery_) {
     for (const auto& [name, cell] : cells_) {
       cell->lease_.RestartWatch(aNow);
     }
@@ -390,7 +392,7 @@
       std::find(aPlaced->begin(), aPlaced->end(), ref) != aPlaced->end();
     if (!fresh) {
       task.granted_ = true;
-      task.foreignGrantOver_ = foreign;
+      task.foreignGrantEnd_ = foreign;
     }
     held[ref] = task;
   }
@@ -398,9 +400,9 @@
 }
 
 void
-SchedulerCore::Private::TakeJob(const TableRow& aRow,
-                                bool aCertain,
-                                Instant aNow)
+SchedulerCore::Private::ApplyJobRow(const TableRow& aRow,
+                                    bool aCertain,
+                                    Instant aNow)
 {
   const std::string id = aRow.key_.substr(std::string_view(kJobPrefix).size());
   if (aRow.revision_ == 0) {
@@ -418,30 +420,30 @@
     JobView& job = jobs_[id];
     job.row_ = *row;
     job.revision_ = aRow.revision_;
-    job.learnedAt_ = aNow;
+    job.updatedAt_ = aNow;
   }
 }
 
 void
-SchedulerCore::Private::TakeJobs(const std::vector<TableRow>& aRows,
-                                 Instant aSentAt,
-                                 Instant aNow)
+SchedulerCore::Private::ApplyJobRows(const std::vector<TableRow>& aRows,
+                                     Instant aSentAt,
+                                     Instant aNow)
 {
   std::set<std::string> listed;
   for (const TableRow& row : aRows) {
     listed.insert(row.key_.substr(std::string_view(kJobPrefix).size()));
-    TakeJob(row, false, aNow);
+    ApplyJobRow(row, false, aNow);
   }
   std::erase_if(jobs_, [&](const auto& aJob) {
     const JobView& view = aJob.second;
     return !listed.contains(aJob.first) && !view.busy_ &&
-           view.learnedAt_ < aSentAt;
+           view.updatedAt_ < aSentAt;
   });
 }
 
 void
-SchedulerCore::Private::TakeEntries(const std::vector<TableRow>& aRows,
-                                    Instant aNow)
+SchedulerCore::Private::ApplyEntryRows(const std::vector<TableRow>& aRows,
+                                       Instant aNow)
 {
   for (const TableRow& row : aRows) {
     const std::string name =
@@ -458,13 +460,13 @@
  * joins or leaves. */
 std::size_t
 SchedulerCore::Private::RankFor(const std::string& aCell,
-                                Micros aSilence,
+                                Micros aTimeout,
                                 Instant aNow) const
 {
   const std::uint64_t mine = StableHash(self_.name_, aCell);
   std::size_t rank = 0;
   for (const auto& [name, entry] : entries_) {
-    const bool live = aNow < entry.changedAt_ + aSilence;
+    const bool live = aNow < entry.changedAt_ + aTimeout;
     if (live && name != self_.name_ && StableHash(name, aCell) > mine) {
       ++rank;
     }
@@ -481,7 +483,7 @@
     if (!handingOver_ &&
         aCell.lease_.MayTake(RankFor(aName, timings_.entrySilence_, aNow),
                              aNow)) {
-      Take(aName, aCell, aNow);
+      AcquireCell(aName, aCell, aNow);
     }
     return;
   }
@@ -494,9 +496,9 @@
 }
 
 void
-SchedulerCore::Private::Take(const std::string& aName,
-                             CellView& aCell,
-                             Instant aNow)
+SchedulerCore::Private::AcquireCell(const std::string& aName,
+                                    CellView& aCell,
+                                    Instant aNow)
 {
   aCell.preferredHere_ = true;
   PendingWrite write;
@@ -506,9 +508,9 @@
 }
 
 bool
-SchedulerCore::Private::WantsHandOver(const std::string& aName,
-                                      CellView& aCell,
-                                      Instant aNow)
+SchedulerCore::Private::ShouldHandOver(const std::string& aName,
+                                       CellView& aCell,
+                                       Instant aNow)
 {
   if (handingOver_) {
     return true;
@@ -533,7 +535,7 @@
   PendingWrite write;
   write.cell_ = aName;
   CellLedger ledger(aCell.lease_.Row());
-  const bool handOver = WantsHandOver(aName, aCell, aNow);
+  const bool handOver = ShouldHandOver(aName, aCell, aNow);
   CollectEnds(aCell, ledger, write, aNow);
   if (!handOver) {
     CollectPlacements(aName, aCell, ledger, write, aNow);
@@ -637,7 +639,7 @@
   // runs. The worker stops the task by its own clock at the last deadline that
   // any owner granted. Only after all deadlines are the resources free and the
   // outcome of the task final.
-  if (aNow > std::max(held.ownGrantOver_, held.foreignGrantOver_)) {
+  if (aNow > std::max(held.ownGrantEnd_, held.foreignGrantEnd_)) {
     return TaskEnd::Lost;
   }
   return std::nullopt;
@@ -671,26 +673,26 @@
     aCell.releasing_.insert(ref);
     ++aWrite.releases_;
     aWrite.losses_ += *end == TaskEnd::Lost ? 1 : 0;
-    NoteEnd(ref,
-            reservation,
-            *end,
-            checkpoint,
-            CombineVerdicts(earlier, verdict),
-            aCell);
+    JournalEnd(ref,
+               reservation,
+               *end,
+               checkpoint,
+               CombineVerdicts(earlier, verdict),
+               aCell);
   }
 }
 
 void
-SchedulerCore::Private::NoteEnd(const TaskRef& aRef,
-                                const Reservation& aReservation,
-                                TaskEnd aEnd,
-                                const std::string& aCheckpoint,
-                                Verdict aVerdict,
-                                CellView& aCell)
+SchedulerCore::Private::JournalEnd(const TaskRef& aRef,
+                                   const Reservation& aReservation,
+                                   TaskEnd aEnd,
+                                   const std::string& aCheckpoint,
+                                   Verdict aVerdict,
+                                   CellView& aCell)
 {
   // Add the step before the write, while no other entry can have started the
   // task: after the write, "never started" may no longer be true.
-  if (std::exchange(aCell.held_.at(aRef).noted_, true)) {
+  if (std::exchange(aCell.held_.at(aRef).endJournaled_, true)) {
     return;
   }
   std::string detail = "worker " + aReservation.workerId_;
@@ -698,7 +700,7 @@
     detail += ", checkpoint " + aCheckpoint;
   }
   actions_.emplace_back(NoteAction{
-    MakeNote(aRef, std::string(TaskEndText(aEnd)), aVerdict, detail) });
+    MakeTaskStep(aRef, std::string(TaskEndText(aEnd)), aVerdict, detail) });
 }
 
 std::vector<std::string>
@@ -739,7 +741,7 @@
     fact.dataCentre_ = worker.row_.dataCentre_;
     fact.rack_ = worker.row_.rack_;
     fact.capacity_ = worker.Capacity();
-    fact.reportedAt_ = worker.heardAt_;
+    fact.reportedAt_ = worker.reportArrivedAt_;
     fact.setAside_ = !worker.IsUsable(timings_, aNow) ||
                      worker.fencedEpoch_ != aView.lease_.Row().epoch_;
     Resources unreported;
@@ -806,12 +808,12 @@
 }
 
 bool
-SchedulerCore::Private::PlaceOne(const std::string& aName,
-                                 std::vector<WorkerFacts>& aFacts,
-                                 CellLedger& aLedger,
-                                 JobLedger& aJob,
-                                 PendingWrite& aWrite,
-                                 Instant aNow)
+SchedulerCore::Private::PlaceTask(const std::string& aName,
+                                  std::vector<WorkerFacts>& aFacts,
+                                  CellLedger& aLedger,
+                                  JobLedger& aJob,
+                                  PendingWrite& aWrite,
+                                  Instant aNow)
 {
   const std::optional<PendingTask> pending = aJob.NextPending();
   const JobSpec& spec = aJob.Row().spec_;
@@ -849,9 +851,10 @@
   aJob.Hold(pending->index_, aName);
   const TaskRef ref = RefOf(reservation);
   aWrite.placed_.push_back(ref);
-  aWrite.notes_.emplace_back(
+  aWrite.placementSteps_.emplace_back(
     ref,
-    MakeNote(ref, "placed", pending->verdict_, "worker " + worker.workerId_));
+    MakeTaskStep(
+      ref, "placed", pending->verdict_, "worker " + worker.workerId_));
   return true;
 }
 
@@ -874,7 +877,7 @@
     JobLedger job(*JobFor(aWrite, id));
     bool placed = false;
     while (aWrite.placed_.size() < kMaxPlacementsPerWrite &&
-           PlaceOne(aName, facts, aLedger, job, aWrite, aNow)) {
+           PlaceTask(aName, facts, aLedger, job, aWrite, aNow)) {
       placed = true;
     }
     if (placed) {
@@ -901,7 +904,7 @@
       if (row.revision_ > job.revision_) {
         job.row_ = aWrite.jobs_.at(id);
         job.revision_ = row.revision_;
-        job.learnedAt_ = aNow;
+        job.updatedAt_ = aNow;
       }
     }
     if (row.key_.starts_with(kDonePrefix)) {
@@ -913,7 +916,7 @@
   counts_.placed_ += aWrite.placed_.size();
   counts_.released_ += aWrite.releases_;
   counts_.lost_ += aWrite.losses_;
-  for (const auto& [ref, note] : aWrite.notes_) {
+  for (const auto& [ref, note] : aWrite.placementSteps_) {
     // The response may arrive after a read returned the placement and the task
     // was started, or after another entry acquired the cell. The step "placed,
     // did not run" would then no longer be true.
@@ -964,9 +967,9 @@
   }
   for (const TableRow& row : outcome.rows_) {
     if (row.key_.starts_with(kJobPrefix)) {
-      TakeJob(row, true, aNow);
+      ApplyJobRow(row, true, aNow);
     } else if (row.revision_ != 0) {
-      TakeCells({ row }, true, aNow);
+      ApplyCellRows({ row }, true, aNow);
     }
   }
 }
@@ -986,9 +989,9 @@
 }
 
 bool
-SchedulerCore::Private::WantsStopped(const CellView& aCell,
-                                     const Reservation& aReservation,
-                                     const HeldTask& aHeld) const
+SchedulerCore::Private::ShouldStop(const CellView& aCell,
+                                   const Reservation& aReservation,
+                                   const HeldTask& aHeld) const
 {
   if (!aHeld.granted_ || aHeld.ended_.has_value() ||
       aCell.releasing_.contains(RefOf(aReservation))) {
@@ -1021,13 +1024,13 @@
     HeldTask& held = aCell.held_.at(ref);
     if (reservation.workerId_ != aWorker.row_.id_ ||
         reservation.workerIncarnation_ != aWorker.Incarnation() ||
-        aNow < held.commandAfter_ || !WantsStopped(aCell, reservation, held)) {
+        aNow < held.nextCommandAt_ || !ShouldStop(aCell, reservation, held)) {
       continue;
     }
     const auto job = jobs_.find(reservation.jobId_);
     const bool cancelled =
       job != jobs_.end() && job->second.row_.wanted_ == Wanted::Cancelled;
-    held.commandAfter_ = aNow + kRepeatCommand;
+    held.nextCommandAt_ = aNow + kCommandRetryInterval;
     StopCommand stop;
     stop.task_ = ref;
     stop.checkpointFirst_ = !cancelled;
@@ -1052,13 +1055,13 @@
     const auto job = jobs_.find(reservation.jobId_);
     if (reservation.workerId_ != aWorker.row_.id_ ||
         reservation.workerIncarnation_ != aWorker.Incarnation() ||
-        aNow < held.commandAfter_ || held.acknowledged_ ||
+        aNow < held.nextCommandAt_ || held.acknowledged_ ||
         held.ended_.has_value() || held.evict_ ||
         aCell.releasing_.contains(ref) || job == jobs_.end() ||
         job->second.row_.wanted_ != Wanted::Run) {
       continue;
     }
-    held.commandAfter_ = aNow + kRepeatCommand;
+    held.nextCommandAt_ = aNow + kCommandRetryInterval;
     StartCommand start;
     start.task_ = ref;
     start.until_ = grant->until_;
@@ -1066,17 +1069,17 @@
     start.resources_ = reservation.resources_;
     start.declaredRunMs_ = job->second.row_.spec_.declaredRunMs_;
     start.checkpoint_ = reservation.checkpoint_;
-    held.ownGrantOver_ = std::max(held.ownGrantOver_, grant->overBy_);
+    held.ownGrantEnd_ = std::max(held.ownGrantEnd_, grant->expiredBy_);
     if (!std::exchange(held.granted_, true)) {
       const JobLedger ledger(job->second.row_);
       const TaskRecord* task = ledger.Find(reservation.index_);
       const Verdict earlier =
         task == nullptr ? Verdict::MayHaveRun : task->verdict_;
       actions_.emplace_back(
-        NoteAction{ MakeNote(ref,
-                             "start sent",
-                             CombineVerdicts(earlier, Verdict::MayHaveRun),
-                             "worker " + reservation.workerId_) });
+        NoteAction{ MakeTaskStep(ref,
+                                 "start sent",
+                                 CombineVerdicts(earlier, Verdict::MayHaveRun),
+                                 "worker " + reservation.workerId_) });
     }
     return start;
   }
@@ -1101,7 +1104,7 @@
         reservation.workerIncarnation_ == aWorker.Incarnation() &&
         !aCell.releasing_.contains(ref)) {
       renew.tasks_.push_back(ref);
-      held.ownGrantOver_ = std::max(held.ownGrantOver_, grant->overBy_);
+      held.ownGrantEnd_ = std::max(held.ownGrantEnd_, grant->expiredBy_);
     }
   }
   if (grant.has_value()) {
@@ -1132,7 +1135,7 @@
   }
   for (auto& [id, worker] : workers_) {
     if (CellName(worker.row_) == aName && worker.call_ == 0 &&
-        aNow >= worker.callAfter_) {
+        aNow >= worker.nextCallAt_) {
       CommandWorker(aName, aCell, worker, aNow);
     }
   }
@@ -1174,16 +1177,16 @@
 }
 
 void
-SchedulerCore::Private::HearTask(CellView& aCell,
-                                 const Reservation& aReservation,
-                                 const WorkerView& aWorker,
-                                 Instant aNow)
+SchedulerCore::Private::HandleTaskReport(CellView& aCell,
+                                         const Reservation& aReservation,
+                                         const WorkerView& aWorker,
+                                         Instant aNow)
 {
   const TaskRef ref = RefOf(aReservation);
   HeldTask& held = aCell.held_.at(ref);
   if (const ReportedTask* running = aWorker.FindRunning(ref)) {
     if (!held.acknowledged_) {
-      actions_.emplace_back(NoteAction{ MakeNote(
+      actions_.emplace_back(NoteAction{ MakeTaskStep(
         ref, "running", Verdict::Ran, "worker " + aReservation.workerId_) });
     }
     held.acknowledged_ = true;
@@ -1194,8 +1197,8 @@
     // The worker has acknowledged this epoch and rejects commands of earlier
     // owners, so their grants end at the deadline that the worker reports.
     const Micros left(running->until_ - aWorker.report_->clock_);
-    held.foreignGrantOver_ =
-      std::min(held.foreignGrantOver_, aNow + left + timings_.margin_);
+    held.foreignGrantEnd_ =
+      std::min(held.foreignGrantEnd_, aNow + left + timings_.margin_);
     return;
   }
   if (const EndedTask* ended = aWorker.FindEnded(ref)) {
@@ -1207,9 +1210,9 @@
 }
 
 void
-SchedulerCore::Private::Hear(const PendingCall& aCall,
-                             const WorkerReport& aReport,
-                             Instant aNow)
+SchedulerCore::Private::HandleReport(const PendingCall& aCall,
+                                     const WorkerReport& aReport,
+                                     Instant aNow)
 {
   const auto found = workers_.find(aCall.worker_);
   if (found == workers_.end()) {
@@ -1217,7 +1220,7 @@
   }
   WorkerView& worker = found->second;
   CellView& cell = CellOf(aCall.cell_);
-  worker.Heard(aReport, aNow);
+  worker.ReportArrived(aReport, aNow);
   const CellRow& row = cell.lease_.Row();
   if (!cell.lease_.Owned() || row.epoch_ != aCall.cellEpoch_) {
     return;
@@ -1234,19 +1237,19 @@
   for (const Reservation& reservation : row.reservations_) {
     if (reservation.workerId_ == aCall.worker_ &&
         reservation.workerIncarnation_ == aReport.incarnation_) {
-      HearTask(cell, reservation, worker, aNow);
+      HandleTaskReport(cell, reservation, worker, aNow);
     }
   }
-  TeachUsage(row, worker, aNow);
+  ForwardUsage(row, worker, aNow);
   CommandWorkers(aCall.cell_, cell, aNow);
 }
 
 /** Passes the usage on only if the report and this entry's row list the same
  * tasks. Otherwise the usage includes other tasks or lacks some. */
 void
-SchedulerCore::Private::TeachUsage(const CellRow& aRow,
-                                   const WorkerView& aWorker,
-                                   Instant aNow)
+SchedulerCore::Private::ForwardUsage(const CellRow& aRow,
+                                     const WorkerView& aWorker,
+                                     Instant aNow)
 {
   WorkerUsage usage{ aWorker.row_.id_, aWorker.report_->used_, {} };
   for (const Reservation& reservation : aRow.reservations_) {
@@ -1301,17 +1304,17 @@
     return;
   }
   if (pending.prefix_ == kWorkerPrefix) {
-    private_->TakeWorkers(*rows);
+    private_->ApplyWorkerRows(*rows);
   } else if (pending.prefix_ == kCellPrefix) {
-    private_->WatchAfterGap(aNow);
-    private_->TakeCells(*rows, false, aNow);
+    private_->RestartWatchAfterOutage(aNow);
+    private_->ApplyCellRows(*rows, false, aNow);
     for (const auto& [name, cell] : private_->cells_) {
       cell->lease_.ObserveAbsent(aNow);
     }
   } else if (pending.prefix_ == kJobPrefix) {
-    private_->TakeJobs(*rows, pending.sentAt_, aNow);
+    private_->ApplyJobRows(*rows, pending.sentAt_, aNow);
   } else {
-    private_->TakeEntries(*rows, aNow);
+    private_->ApplyEntryRows(*rows, aNow);
   }
 }
 
@@ -1346,7 +1349,7 @@
     private_->workers_[pending.worker_].CallFailed(aNow);
     return;
   }
-  private_->Hear(pending, *report, aNow);
+  private_->HandleReport(pending, *report, aNow);
 }
 
 std::vector<SchedulerAction>
@@ -1376,7 +1379,7 @@
 }
 
 void
-SchedulerCore::Nudge()
+SchedulerCore::RequestPoll()
 {
   private_->pollAt_ = Instant();
 }
--- a/Source/Process/SchedulerCore.h
+++ b/Source/Process/SchedulerCore.h
@@ -66,7 +66,7 @@
   bool Evict(const std::string& aTaskId);
 
   /** Requests a table read at the next tick, after an operator's change. */
-  void Nudge();
+  void RequestPoll();
 
   /** Hands over the owned cells for a planned stop; running tasks continue. */
   void HandOver();
--- a/Source/Process/SchedulerWorkers.cxx
+++ b/Source/Process/SchedulerWorkers.cxx
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr Millis kFirstPause{ 250 };
-constexpr std::uint32_t kMaxPauseDoublings = 4;
+constexpr Millis kInitialBackoff{ 250 };
+constexpr std::uint32_t kMaxBackoffDoublings = 4;
 
 }
 
@@ -15,7 +15,7 @@
 WorkerView::IsUsable(const WorkTimings& aTimings, Instant aNow) const
 {
   return report_.has_value() && failures_ == 0 &&
-         aNow < heardAt_ + aTimings.workerSilence_;
+         aNow < reportArrivedAt_ + aTimings.workerSilence_;
 }
 
 Resources
@@ -44,8 +44,8 @@
   if (!report_.has_value()) {
     return std::nullopt;
   }
-  const Instant end = std::min(heardAt_ + aTimings.taskLease_, aLimit);
-  const Micros length = end - heardAt_;
+  const Instant end = std::min(reportArrivedAt_ + aTimings.taskLease_, aLimit);
+  const Micros length = end - reportArrivedAt_;
   if (length <= Micros(0)) {
     return std::nullopt;
   }
@@ -55,20 +55,20 @@
 void
 WorkerView::CallFailed(Instant aNow)
 {
-  const std::uint32_t doublings = std::min(failures_, kMaxPauseDoublings);
-  callAfter_ = aNow + kFirstPause * (1U << doublings);
+  const std::uint32_t doublings = std::min(failures_, kMaxBackoffDoublings);
+  nextCallAt_ = aNow + kInitialBackoff * (1U << doublings);
   ++failures_;
   call_ = 0;
 }
 
 void
-WorkerView::Heard(const WorkerReport& aReport, Instant aNow)
+WorkerView::ReportArrived(const WorkerReport& aReport, Instant aNow)
 {
   report_ = aReport;
-  heardAt_ = aNow;
+  reportArrivedAt_ = aNow;
   failures_ = 0;
   call_ = 0;
-  callAfter_ = aNow;
+  nextCallAt_ = aNow;
 }
 
 const ReportedTask*
--- a/Source/Process/SchedulerWorkers.h
+++ b/Source/Process/SchedulerWorkers.h
@@ -20,7 +20,7 @@
   std::int64_t until_ = 0;
   /** Time on this entry's clock at which the worker's clock has certainly
    * passed the deadline. */
-  Instant overBy_;
+  Instant expiredBy_;
 };
 
 /** An entry's state of one worker. */
@@ -29,10 +29,10 @@
   WorkerRow row_;
   std::optional<WorkerReport> report_;
   /** Arrival time of the latest report. */
-  Instant heardAt_;
+  Instant reportArrivedAt_;
   /** Token of the call in flight, at most one at a time; 0 if none. */
   std::uint64_t call_ = 0;
-  Instant callAfter_;
+  Instant nextCallAt_;
   Instant renewDueAt_;
   std::uint32_t failures_ = 0;
   /** Highest epoch of this entry's cell that the worker has acknowledged. */
@@ -51,14 +51,14 @@
   /**
    * Returns the longest possible grant, which never exceeds aLimit on this
    * entry's clock; none if no report has arrived. The worker sent its report
-   * before heardAt_, so its clock reaches the deadline no later than computed
-   * here.
+   * before reportArrivedAt_, so its clock reaches the deadline no later than
+   * computed here.
    */
   std::optional<TaskGrant> Grant(const WorkTimings& aTimings,
                                  Instant aLimit) const;
 
   void CallFailed(Instant aNow);
-  void Heard(const WorkerReport& aReport, Instant aNow);
+  void ReportArrived(const WorkerReport& aReport, Instant aNow);
 
   const ReportedTask* FindRunning(const TaskRef& aTask) const;
   const EndedTask* FindEnded(const TaskRef& aTask) const;
--- a/Source/Process/SideProcess.cxx
+++ b/Source/Process/SideProcess.cxx
@@ -28,18 +28,18 @@
 
 namespace {
 
-constexpr Millis kTick{ 50 };
+constexpr Millis kTickInterval{ 50 };
 constexpr std::size_t kJournalRequests = 20000;
 /** Time after which an announcement expires unless it is repeated. */
-constexpr Millis kAnnouncementLife{ 3000 };
+constexpr Millis kAnnouncementTimeout{ 3000 };
 /** Time for which heartbeats with the state "leaving" are sent before the
  * process ends. */
-constexpr Millis kLeavingNotice{ 1000 };
+constexpr Millis kLeavingPeriod{ 1000 };
 /** Time after the stop timeout to send the answers for abandoned attempts. */
-constexpr Millis kLastAnswers{ 1000 };
+constexpr Millis kFinalAnswerTimeout{ 1000 };
 /** Time without messages from entries that must pass before a stopping side
  * ends. */
-constexpr Millis kQuietBeforeEnd{ 200 };
+constexpr Millis kIdleBeforeStop{ 200 };
 
 /** JSON body of an upstream's announcement. */
 struct AnnouncementBody
@@ -110,12 +110,12 @@
   bool fromSettings_ = false;
   /** Time of the latest message from the entry, or of the latest message of
    * another entry that lists it. */
-  Instant heardAt_;
+  Instant lastSeenAt_;
 };
 
 /** Time without a message after which an entry is removed, because entries
  * join and leave with their hosts. */
-constexpr Millis kForgetEntryAfter{ 60000 };
+constexpr Millis kEntryRemovalTimeout{ 60000 };
 constexpr std::size_t kMaxEntries = 256;
 
 }
@@ -153,8 +153,8 @@
   void OnAnnounceRequest(const HttpExchange& aExchange);
   void OnConnection();
   void OnMessage(LinkId aLink, const WireMessage& aMessage);
-  void TakeConfiguration(const std::string& aText);
-  void Hear(const std::string& aEntry, Instant aNow);
+  void ApplyConfiguration(const std::string& aText);
+  void AddOrRefreshEntry(const std::string& aEntry, Instant aNow);
   void OnDatagram();
   void OnTick();
   void SendHeartbeat();
@@ -191,11 +191,11 @@
   bool stopping_ = false;
   Instant stopEarliest_;
   /** Time of the latest message from an entry. */
-  Instant quietSince_;
+  Instant lastEntryMessageAt_;
   Instant stopDeadline_;
   /** Whether the stop timed out, possibly with unfinished attempts. */
-  bool gaveUp_ = false;
-  bool leftOver_ = false;
+  bool stopTimedOut_ = false;
+  bool hasUnfinishedAttempts_ = false;
   std::function<void()> stopped_;
 };
 
@@ -227,7 +227,7 @@
   connect(&datagrams_, &QUdpSocket::readyRead, this, [this] { OnDatagram(); });
   connect(&tick_, &QTimer::timeout, this, [this] { OnTick(); });
   connect(&heartbeat_, &QTimer::timeout, this, [this] { SendHeartbeat(); });
-  tick_.start(kTick);
+  tick_.start(kTickInterval);
   if (journalStore_ != nullptr) {
     journalStore_->Start();
   }
@@ -258,10 +258,10 @@
     announcement.port_ = body.port_;
     announcement.slots_ = body.slots_;
     announcement.incarnation_ = body.incarnation_;
-    announcement.deadline_ = now + kAnnouncementLife;
+    announcement.deadline_ = now + kAnnouncementTimeout;
     Run(core_.OnAnnounce(announcement, now));
     answer.body_ =
-      "{\"repeatWithinMs\":" + std::to_string(kAnnouncementLife.count()) +
+      "{\"repeatWithinMs\":" + std::to_string(kAnnouncementTimeout.count()) +
       "}\n";
   } else if (aExchange.Method() == "POST" &&
              aExchange.Path() == "/v1/goodbye") {
@@ -308,7 +308,7 @@
 SideProcess::Private::OnMessage(LinkId aLink, const WireMessage& aMessage)
 {
   const Instant now = ReadMonotonicClock();
-  quietSince_ = now;
+  lastEntryMessageAt_ = now;
   if (const auto* dispatch = std::get_if<DispatchMessage>(&aMessage)) {
     meter_.Begin(dispatch->attemptId_, dispatch->tenant_, class_, now);
     Run(core_.OnDispatch(aLink, *dispatch, now));
@@ -322,7 +322,7 @@
     }
     links_.at(aLink)->Send(recollection);
   } else if (const auto* offered = std::get_if<ConfigMessage>(&aMessage)) {
-    TakeConfiguration(offered->text_);
+    ApplyConfiguration(offered->text_);
   } else if (std::holds_alternative<ConfigRequestMessage>(aMessage)) {
     const std::shared_ptr<const Configuration> held = configuration_.Current();
     links_.at(aLink)->Send(
@@ -333,7 +333,7 @@
 /** Applies a valid configuration with a higher version. Entries are a side's
  * only source of configurations. */
 void
-SideProcess::Private::TakeConfiguration(const std::string& aText)
+SideProcess::Private::ApplyConfiguration(const std::string& aText)
 {
   const Result<Configuration> parsed = ParseConfiguration(aText);
   const auto* offered = std::get_if<Configuration>(&parsed);
@@ -347,13 +347,13 @@
 }
 
 void
-SideProcess::Private::Hear(const std::string& aEntry, Instant aNow)
+SideProcess::Private::AddOrRefreshEntry(const std::string& aEntry, Instant aNow)
 {
   const Result<SocketAddress> parsed = ParseSocketAddress(aEntry);
   const auto* address = std::get_if<SocketAddress>(&parsed);
   const auto found = entries_.find(aEntry);
   if (found != entries_.end()) {
-    found->second.heardAt_ = aNow;
+    found->second.lastSeenAt_ = aNow;
   } else if (address != nullptr && entries_.size() < kMaxEntries) {
     entries_[aEntry] = { *address, false, aNow };
   }
@@ -379,7 +379,7 @@
       continue;
     }
     for (const std::string& entry : ack->entries_) {
-      Hear(entry, ReadMonotonicClock());
+      AddOrRefreshEntry(entry, ReadMonotonicClock());
     }
   }
 }
@@ -405,7 +405,7 @@
   const Instant now = ReadMonotonicClock();
   std::erase_if(entries_, [now](const auto& aEntry) {
     return !aEntry.second.fromSettings_ &&
-           aEntry.second.heardAt_ + kForgetEntryAfter < now;
+           aEntry.second.lastSeenAt_ + kEntryRemovalTimeout < now;
   });
   for (const auto& [text, known] : entries_) {
     const SocketAddress& entry = known.address_;
@@ -484,7 +484,7 @@
   // answer in this process's buffers is lost when the process ends, and an
   // answer in flight is lost if the connection is reset because a late dispatch
   // was not read.
-  const bool quiet = now >= quietSince_ + kQuietBeforeEnd;
+  const bool quiet = now >= lastEntryMessageAt_ + kIdleBeforeStop;
   const bool flushed =
     std::all_of(links_.begin(), links_.end(), [](const auto& aLink) {
       return aLink.second->Flushed();
@@ -495,15 +495,16 @@
   }
   const bool finished =
     served && (journalStore_ == nullptr || journalStore_->Idle());
-  if (!finished && now >= stopDeadline_ && !gaveUp_) {
-    gaveUp_ = true;
-    leftOver_ = !core_.Idle();
-    stopDeadline_ = now + kLastAnswers;
+  if (!finished && now >= stopDeadline_ && !stopTimedOut_) {
+    stopTimedOut_ = true;
+    hasUnfinishedAttempts_ = !core_.Idle();
+    stopDeadline_ = now + kFinalAnswerTimeout;
     Run(core_.OnStopBound(now));
     return;
   }
   if (finished || now >= stopDeadline_) {
-    LogChange("stopped", { { "in-flight-left", leftOver_ ? "yes" : "no" } });
+    LogChange("stopped",
+              { { "in-flight-left", hasUnfinishedAttempts_ ? "yes" : "no" } });
     std::exchange(stopped_, nullptr)();
   }
 }
@@ -531,7 +532,7 @@
 {
   const Instant now = ReadMonotonicClock();
   private_->stopping_ = true;
-  private_->stopEarliest_ = now + kLeavingNotice;
+  private_->stopEarliest_ = now + kLeavingPeriod;
   private_->stopDeadline_ = now + Millis(private_->settings_.stopBoundMs_);
   private_->stopped_ = std::move(aDone);
   LogChange("stopping", {});
--- a/Source/Process/WorkPages.cxx
+++ b/Source/Process/WorkPages.cxx
@@ -41,7 +41,7 @@
 
 /** Collected results about a task while queries to entries and to the table are
  * in flight. */
-struct TaskQuestion
+struct TaskQuery
 {
   HttpExchange exchange_;
   std::string id_;
@@ -53,7 +53,7 @@
 };
 
 void
-TaskQuestion::Done()
+TaskQuery::Done()
 {
   if (--open_ > 0) {
     return;
@@ -110,7 +110,7 @@
 
   using Session = std::shared_ptr<VerbSession>;
 
-  void TakeVerb(const HttpExchange& aExchange);
+  void HandleVerb(const HttpExchange& aExchange);
   void Advance(const HttpExchange& aExchange,
                const Session& aSession,
                const VerbStep& aStep);
@@ -119,10 +119,10 @@
   void Cells(const HttpExchange& aExchange);
   void Evict(const HttpExchange& aExchange);
   void ExplainTask(const HttpExchange& aExchange);
-  void AskEntry(const EntryRecord& aEntry,
-                const std::shared_ptr<TaskQuestion>& aQuestion);
-  void AskTable(const TaskName& aName,
-                const std::shared_ptr<TaskQuestion>& aQuestion);
+  void QueryEntry(const EntryRecord& aEntry,
+                  const std::shared_ptr<TaskQuery>& aQuery);
+  void QueryTable(const TaskName& aName,
+                  const std::shared_ptr<TaskQuery>& aQuery);
   void ReadBoth(const std::string& aId,
                 const HttpExchange& aExchange,
                 std::function<void(const std::vector<TableRow>&)> aCallback);
@@ -136,7 +136,7 @@
 };
 
 void
-WorkPages::Private::TakeVerb(const HttpExchange& aExchange)
+WorkPages::Private::HandleVerb(const HttpExchange& aExchange)
 {
   Result<VerbRequest> parsed = FromJson<VerbRequest>(aExchange.Body());
   if (const auto* failure = std::get_if<Failure>(&parsed)) {
@@ -180,7 +180,7 @@
     aExchange.Answer(OperatorError(answer.status_, answer.message_));
     return;
   }
-  scheduler_.Core().Nudge();
+  scheduler_.Core().RequestPoll();
   aExchange.Answer(JsonAnswer(ToJson(answer.operation_)));
 }
 
@@ -304,53 +304,52 @@
       OperatorError(400, "'" + id + "' is not the id of a task, JOB.INDEX."));
     return;
   }
-  auto question =
-    std::make_shared<TaskQuestion>(TaskQuestion{ aExchange, id, {}, {}, 2 });
-  question->known_.steps_ = journal_.Recall(id);
+  auto query =
+    std::make_shared<TaskQuery>(TaskQuery{ aExchange, id, {}, {}, 2 });
+  query->known_.steps_ = journal_.Recall(id);
   // Query all entries: each one that owned the task's cell has steps of the
   // task in memory while its process runs.
   for (const EntryRecord& entry : directory_.Others()) {
-    ++question->open_;
-    AskEntry(entry, question);
+    ++query->open_;
+    QueryEntry(entry, query);
   }
-  AskTable(*name, question);
-  question->Done();
+  QueryTable(*name, query);
+  query->Done();
 }
 
 void
-WorkPages::Private::AskEntry(const EntryRecord& aEntry,
-                             const std::shared_ptr<TaskQuestion>& aQuestion)
+WorkPages::Private::QueryEntry(const EntryRecord& aEntry,
+                               const std::shared_ptr<TaskQuery>& aQuery)
 {
   HttpCall call;
   call.method_ = "GET";
-  call.url_ =
-    "http://" + aEntry.operators_ + "/v1/explain?id=" + aQuestion->id_;
+  call.url_ = "http://" + aEntry.operators_ + "/v1/explain?id=" + aQuery->id_;
   call.deadline_ = ReadMonotonicClock() + kRecallTimeout;
   SignCall(call);
-  caller_.Start(std::move(call), [aQuestion](const auto& aReply) {
+  caller_.Start(std::move(call), [aQuery](const auto& aReply) {
     if (const auto* reply = std::get_if<HttpReply>(&aReply)) {
       const Result<TaskSteps> parsed = FromJson<TaskSteps>(reply->body_);
       if (const auto* steps = std::get_if<TaskSteps>(&parsed)) {
-        auto& known = aQuestion->known_.steps_;
+        auto& known = aQuery->known_.steps_;
         known.insert(known.end(), steps->steps_.begin(), steps->steps_.end());
       }
     }
-    aQuestion->Done();
+    aQuery->Done();
   });
 }
 
 void
-WorkPages::Private::AskTable(const TaskName& aName,
-                             const std::shared_ptr<TaskQuestion>& aQuestion)
+WorkPages::Private::QueryTable(const TaskName& aName,
+                               const std::shared_ptr<TaskQuery>& aQuery)
 {
-  const auto take = [aName, aQuestion](const auto& aRows, bool aOver) {
+  const auto take = [aName, aQuery](const auto& aRows, bool aOver) {
     const auto* rows = std::get_if<std::vector<TableRow>>(&aRows);
     const std::string key = (aOver ? kDonePrefix : kJobPrefix) + aName.jobId_;
     for (const TableRow& row :
          rows == nullptr ? std::vector<TableRow>() : *rows) {
       const Result<JobRow> job = FromJson<JobRow>(row.value_);
       if (row.key_ == key && Succeeded(job)) {
-        aQuestion->standing_ =
+        aQuery->standing_ =
           StandingOf(std::get<JobRow>(job), aOver, aName.index_);
       }
     }
@@ -358,13 +357,13 @@
   const Instant deadline = ReadMonotonicClock() + kTableTimeout;
   table_.Read(kJobPrefix + aName.jobId_,
               deadline,
-              [this, take, aName, aQuestion, deadline](const auto& aOpen) {
+              [this, take, aName, aQuery, deadline](const auto& aOpen) {
                 take(aOpen, false);
                 table_.Read(kDonePrefix + aName.jobId_,
                             deadline,
-                            [take, aQuestion](const auto& aDone) {
+                            [take, aQuery](const auto& aDone) {
                               take(aDone, true);
-                              aQuestion->Done();
+                              aQuery->Done();
                             });
               });
 }
@@ -394,7 +393,7 @@
       (self->*aPage)(aExchange);
     });
   };
-  add("POST", "/v1/work", &Private::TakeVerb);
+  add("POST", "/v1/work", &Private::HandleVerb);
   add("GET", "/v1/jobs", &Private::List);
   add("GET", "/v1/jobs/inspect", &Private::Inspect);
   add("GET", "/v1/cells", &Private::Cells);
--- a/Tests/Unit/EntryClientTest.cxx
+++ b/Tests/Unit/EntryClientTest.cxx
@@ -13,15 +13,15 @@
 
 /** Event loop, an entry that responds, and the number of requests it received.
  */
-class Bench
+class EntryFixture
 {
 public:
-  Bench()
+  EntryFixture()
     : application_(argc_, &argv_)
   {
     auto front = HttpFront::Listen(
       "127.0.0.1", 0, HttpLimits{}, [this](const HttpExchange& aExchange) {
-        ++asked_;
+        ++requests_;
         HttpAnswer answer;
         answer.body_ = "here";
         aExchange.Answer(answer);
@@ -42,7 +42,7 @@
       EntryClient::Make(std::get<CommandLine>(line)));
   }
 
-  int asked_ = 0;
+  int requests_ = 0;
 
 private:
   int argc_ = 1;
@@ -63,23 +63,23 @@
 
 }
 
-Test(EntryClient, AsksTheNextEntryIfOneCannotBeReached)
+Test(EntryClient, TriesTheNextEntryIfOneIsUnreachable)
 {
-  Bench bench;
-  const EntryClient client = bench.Client(ClosedPort());
+  EntryFixture fixture;
+  const EntryClient client = fixture.Client(ClosedPort());
   const auto got = client.Call("GET", "/", "");
   cr_assert(std::get<HttpReply>(got).body_ == "here");
   const auto put = client.Call("PUT", "/", "x");
   cr_assert(std::get<HttpReply>(put).body_ == "here");
-  cr_assert(bench.asked_ == 2);
+  cr_assert(fixture.requests_ == 2);
 }
 
 // Guards against sending a change twice. An entry receives a drain command and
 // dies before it responds; sent to the next entry, the command would run twice.
 // The client must report that the change may have been made.
-Test(EntryClient, AChangeThatMayHaveArrivedIsNotSentToAnotherEntry)
+Test(EntryClient, ChangeWithUnknownOutcomeIsNotSentToAnotherEntry)
 {
-  Bench bench;
+  EntryFixture fixture;
   QTcpServer dying;
   dying.listen(QHostAddress::LocalHost, 0);
   int read = 0;
@@ -90,10 +90,10 @@
       socket->abort();
     });
   });
-  const EntryClient client = bench.Client(dying.serverPort());
+  const EntryClient client = fixture.Client(dying.serverPort());
   const auto result = client.Call("POST", "/v1/drain", "x");
   const auto* failure = std::get_if<Failure>(&result);
   cr_assert(failure != nullptr);
   cr_assert(failure->verdict_ == Verdict::MayHaveRun);
-  cr_assert(read == 1 && bench.asked_ == 0);
+  cr_assert(read == 1 && fixture.requests_ == 0);
 }
