--- a/Source/Process/ConfigCommands.cxx
+++ b/Source/Process/ConfigCommands.cxx
@@ -299,7 +299,7 @@
                               "how to print the result; table by default" };
   aTable.Add({ "config check",
                { "FILE" },
-               "Checks a settings file; its sections say for which role.",
+               "Checks a settings file; its sections determine the role.",
                "cactusrail config check Examples/tagasi/entry.ini",
                { output },
                false,
@@ -313,7 +313,7 @@
                PrintKeys });
   aTable.Add({ "config get",
                {},
-               "Prints the configuration that is in force at an entry.",
+               "Prints the current configuration of an entry.",
                "cactusrail config get --entry 127.0.0.1:7001 --output json",
                {},
                true,
@@ -321,7 +321,7 @@
   aTable.Add({ "config set",
                { "FILE" },
                "Sets the whole configuration from a JSON file, or from '-'. "
-               "Its version must be the next one, or it is a conflict.",
+               "Its version must be the next one; otherwise it is a conflict.",
                "cactusrail config set new.json --entry 127.0.0.1:7001",
                { { "dry-run", "", "check it and print it, set nothing" } },
                true,
@@ -343,7 +343,7 @@
       "Adds a tenant, whose callers send the key in the file (or '-').",
       "printf demo-key | cactusrail create tenant clerk - "
       "--entry 127.0.0.1:7001",
-      { { "share", "NUMBER", "its weight beside others; 1" },
+      { { "share", "NUMBER", "weight relative to other tenants; 1" },
         { "quota-millicpus",
           "NUMBER",
           "thousandths of a processor for its batch work; 0" },
@@ -357,7 +357,9 @@
                "cactusrail create service pricing --timeout-ms 5000 "
                "--entry 127.0.0.1:7001",
                { { "idempotent", "", "requests may run more than once" },
-                 { "timeout-ms", "NUMBER", "the longest request; 10000" },
+                 { "timeout-ms",
+                   "NUMBER",
+                   "maximum duration of a request in ms; 10000" },
                  { "label", "NAME=VALUE", "a label; repeatable", true },
                  dryRun },
                true,
--- a/Source/Process/ConfigurationPeers.cxx
+++ b/Source/Process/ConfigurationPeers.cxx
@@ -147,7 +147,7 @@
     }
     self.QuerySide(side);
   }
-  // Heartbeats add the sides that are still alive and ahead again.
+  // Later heartbeats add the sides again that still report a higher version.
   self.newerSides_.clear();
 }
 
--- a/Source/Process/ExplainCommand.cxx
+++ b/Source/Process/ExplainCommand.cxx
@@ -145,17 +145,16 @@
 void
 AddExplainCommands(CommandTable& aTable)
 {
-  aTable.Add(
-    { "explain",
-      { "ID" },
-      "Says what became of one request or task: its steps and its verdict.",
-      "cactusrail explain entry1-k3-0-17 --entry 127.0.0.1:7001",
-      {},
-      true,
-      Explain });
+  aTable.Add({ "explain",
+               { "ID" },
+               "Prints the steps and the verdict of one request or task.",
+               "cactusrail explain entry1-k3-0-17 --entry 127.0.0.1:7001",
+               {},
+               true,
+               Explain });
   aTable.Add({ "list sides",
                {},
-               "Prints the sides that an entry hears of, as that entry does.",
+               "Prints the sides of an entry, with their state at that entry.",
                "cactusrail list sides --entry 127.0.0.1:7001",
                {},
                true,
--- a/Source/Process/SchedulerWorkers.h
+++ b/Source/Process/SchedulerWorkers.h
@@ -35,7 +35,7 @@
   Instant nextCallAt_;
   Instant renewDueAt_;
   std::uint32_t failures_ = 0;
-  /** Highest epoch of this entry's cell that the worker has acknowledged. */
+  /** Epoch of this entry's cell that the worker has acknowledged. */
   std::uint64_t fencedEpoch_ = 0;
 
   /** Returns whether the latest report is recent enough, and the latest call
--- a/Source/Process/WorkCommands.cxx
+++ b/Source/Process/WorkCommands.cxx
@@ -334,7 +334,7 @@
                       "a name for this operation; a repeat under the same name "
                       "returns the first outcome" });
   options.push_back(
-    { "wait", "", "wait until none of their tasks is on a worker" });
+    { "wait", "", "wait until none of their tasks is held on a worker" });
   aTable.Add(
     { aVerb,
       { "SELECTOR" },
@@ -352,17 +352,17 @@
   aTable.Add(
     { "create job",
       { "ID" },
-      "Creates a batch job, watcher or service of equal tasks.",
+      "Creates a batch job, watcher or service with identical tasks.",
       "cactusrail create job payouts --tenant payouts --program payout "
       "--tasks 6 --milli-cpus 4000 --label team=vouchers "
       "--entry 127.0.0.1:7001",
-      { { "tenant", "NAME", "whose it is" },
-        { "program", "NAME", "what it runs" },
+      { { "tenant", "NAME", "tenant that owns the job" },
+        { "program", "NAME", "program that each task runs" },
         { "kind", "batch|watcher|service", "batch by default" },
-        { "tasks", "NUMBER", "how many tasks; 1" },
-        { "milli-cpus", "NUMBER", "thousandths of a processor a task; 1000" },
-        { "memory-mb", "NUMBER", "MB of memory a task; 0" },
-        { "accelerators", "NUMBER", "accelerators a task; 0" },
+        { "tasks", "NUMBER", "number of tasks; 1" },
+        { "milli-cpus", "NUMBER", "thousandths of a processor per task; 1000" },
+        { "memory-mb", "NUMBER", "MB of memory per task; 0" },
+        { "accelerators", "NUMBER", "accelerators per task; 0" },
         { "run-ms", "NUMBER", "expected run time of a task in ms; 0: open" },
         { "idempotent", "", "a task may run more than once" },
         { "label", "NAME=VALUE", "a label; repeatable", true },
@@ -380,35 +380,36 @@
   AddCreateJob(aTable);
   aTable.Add({ "list jobs",
                { "[SELECTOR]" },
-               "Lists the jobs that a selector of labels chooses; all without "
-               "one.",
+               "Lists the jobs that match a selector of labels; all jobs "
+               "without a selector.",
                "cactusrail list jobs team=vouchers --entry 127.0.0.1:7001",
                {},
                true,
                ListJobs });
   aTable.Add({ "inspect job",
                { "ID" },
-               "Prints all that is recorded of one job, as JSON.",
+               "Prints the recorded state of one job as JSON.",
                "cactusrail inspect job payouts --entry 127.0.0.1:7001",
                {},
                true,
                InspectJob });
   AddSelectorVerb(aTable,
                   "pause",
-                  "Starts nothing more of these jobs until resume; what runs "
-                  "is checkpointed and stopped.");
+                  "Starts no more tasks of these jobs until resume; each task "
+                  "that runs is checkpointed and stopped.");
   AddSelectorVerb(aTable, "resume", "Ends a pause or a drain.");
   AddSelectorVerb(aTable,
                   "drain",
-                  "Starts nothing more of these jobs until resume; what runs "
-                  "goes on to its end.");
+                  "Starts no more tasks of these jobs until resume; each task "
+                  "that runs goes on until it ends.");
   AddSelectorVerb(aTable,
                   "stop",
-                  "Ends these jobs for good; what runs is checkpointed and "
-                  "stopped.");
+                  "Ends these jobs permanently; each task that runs is "
+                  "checkpointed and stopped.");
   AddSelectorVerb(aTable,
                   "cancel",
-                  "Ends these jobs for good; what runs is stopped at once.");
+                  "Ends these jobs permanently; each task that runs is stopped "
+                  "immediately.");
 }
 
 }
--- a/Source/Process/WorkPages.cxx
+++ b/Source/Process/WorkPages.cxx
@@ -287,8 +287,10 @@
 {
   const std::string task = aExchange.Query("task");
   if (!scheduler_.Core().Evict(task)) {
-    aExchange.Answer(OperatorError(
-      404, "This entry's cells hold no task '" + task + "'; ask the others."));
+    aExchange.Answer(
+      OperatorError(404,
+                    "This entry's cells hold no task '" + task +
+                      "'; send the request to the other entries."));
     return;
   }
   aExchange.Answer(JsonAnswer(R"({"evicting":true})"));
