--- a/Source/Process/Explainer.cxx
+++ b/Source/Process/Explainer.cxx
@@ -307,15 +307,16 @@
 {
   aQuery->open_ = 1;
   aQuery->next_ = [aQuery] { Answer(aQuery); };
-  std::set<std::string> heard;
+  std::set<std::string> respondedHosts;
   for (const RequestStep& step : aQuery->steps_) {
-    heard.insert(step.host_);
+    respondedHosts.insert(step.host_);
   }
   const std::uint64_t now = SlotOf(ReadWallClock(), 0, kSideSlot);
   std::set<std::string> objects;
   for (const RequestStep& step : aQuery->steps_) {
     const std::string side = NamedSide(step);
-    if (side.empty() || heard.contains(std::string(kSidePrefix) + side)) {
+    if (side.empty() ||
+        respondedHosts.contains(std::string(kSidePrefix) + side)) {
       continue;
     }
     const std::uint64_t first = SlotOf(step.wallMicros_, 0, kSideSlot);
--- a/Source/Process/SchedulerCore.cxx
+++ b/Source/Process/SchedulerCore.cxx
@@ -186,7 +186,7 @@
   std::size_t RankFor(const std::string& aCell,
                       Micros aTimeout,
                       Instant aNow) const;
-  void StepCell(const std::string& aName, CellView& aCell, Instant aNow);
+  void UpdateCell(const std::string& aName, CellView& aCell, Instant aNow);
   void AcquireCell(const std::string& aName, CellView& aCell, Instant aNow);
   bool ShouldHandOver(const std::string& aName, CellView& aCell, Instant aNow);
   void Write(const std::string& aName, CellView& aCell, Instant aNow);
@@ -475,9 +475,9 @@
 }
 
 void
-SchedulerCore::Private::StepCell(const std::string& aName,
-                                 CellView& aCell,
-                                 Instant aNow)
+SchedulerCore::Private::UpdateCell(const std::string& aName,
+                                   CellView& aCell,
+                                   Instant aNow)
 {
   if (!aCell.lease_.Owned()) {
     if (!handingOver_ &&
@@ -1284,7 +1284,7 @@
 {
   private_->Poll(aNow);
   for (const auto& [name, cell] : private_->cells_) {
-    private_->StepCell(name, *cell, aNow);
+    private_->UpdateCell(name, *cell, aNow);
   }
 }
 
--- a/Source/Process/WorkCommands.cxx
+++ b/Source/Process/WorkCommands.cxx
@@ -134,13 +134,13 @@
 ReadNumber(const CommandLine& aLine,
            const std::string& aName,
            Number& aNumber,
-           std::optional<Failure>& aFault)
+           std::optional<Failure>& aError)
 {
   constexpr std::int64_t kMaximum = 1000000000;
   const Result<std::int64_t> read =
     aLine.Number(aName, static_cast<std::int64_t>(aNumber), kMaximum);
   if (const auto* failure = std::get_if<Failure>(&read)) {
-    aFault = *failure;
+    aError = *failure;
     return false;
   }
   aNumber = static_cast<Number>(std::get<std::int64_t>(read));
@@ -184,15 +184,15 @@
   spec.labels_ = std::get<Labels>(labels);
   spec.idempotent_ = aLine.Given("idempotent");
   spec.declared_.milliCpus_ = kDefaultMilliCpus;
-  std::optional<Failure> fault;
+  std::optional<Failure> error;
   const bool read =
-    ReadNumber(aLine, "tasks", spec.tasks_, fault) &&
-    ReadNumber(aLine, "milli-cpus", spec.declared_.milliCpus_, fault) &&
-    ReadNumber(aLine, "memory-mb", spec.declared_.memoryMb_, fault) &&
-    ReadNumber(aLine, "accelerators", spec.declared_.accelerators_, fault) &&
-    ReadNumber(aLine, "run-ms", spec.declaredRunMs_, fault);
+    ReadNumber(aLine, "tasks", spec.tasks_, error) &&
+    ReadNumber(aLine, "milli-cpus", spec.declared_.milliCpus_, error) &&
+    ReadNumber(aLine, "memory-mb", spec.declared_.memoryMb_, error) &&
+    ReadNumber(aLine, "accelerators", spec.declared_.accelerators_, error) &&
+    ReadNumber(aLine, "run-ms", spec.declaredRunMs_, error);
   if (!read) {
-    return *fault;
+    return *error;
   }
   return spec;
 }
--- a/Source/Process/WorkPages.cxx
+++ b/Source/Process/WorkPages.cxx
@@ -46,7 +46,7 @@
   HttpExchange exchange_;
   std::string id_;
   TaskSteps known_;
-  std::optional<RequestStep> standing_;
+  std::optional<RequestStep> tableStep_;
   std::size_t open_ = 0;
 
   void Done();
@@ -63,10 +63,10 @@
     steps.begin(), steps.end(), [](const auto& aLeft, const auto& aRight) {
       return aLeft.wallMicros_ < aRight.wallMicros_;
     });
-  if (standing_.has_value()) {
-    standing_->wallMicros_ = ReadWallClock();
-    standing_->host_ = "table";
-    steps.push_back(*standing_);
+  if (tableStep_.has_value()) {
+    tableStep_->wallMicros_ = ReadWallClock();
+    tableStep_->host_ = "table";
+    steps.push_back(*tableStep_);
   }
   HttpAnswer answer;
   answer.body_ = ToJson(known_) + "\n";
@@ -351,7 +351,7 @@
          rows == nullptr ? std::vector<TableRow>() : *rows) {
       const Result<JobRow> job = FromJson<JobRow>(row.value_);
       if (row.key_ == key && Succeeded(job)) {
-        aQuery->standing_ =
+        aQuery->tableStep_ =
           StandingOf(std::get<JobRow>(job), aOver, aName.index_);
       }
     }
