--- a/Source/Process/ConfigurationKeeper.cxx
+++ b/Source/Process/ConfigurationKeeper.cxx
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Millis kTick{ 100 };
+constexpr Millis kTickInterval{ 100 };
 constexpr Millis kTableTimeout{ 2000 };
 constexpr const char* kConfigKey = "config/current";
 
@@ -54,7 +54,7 @@
   ConfigurationVersion decision_;
   ConfigurationPeers peers_;
   QTimer tick_;
-  /** Operators that wait for the outcome of their change, by nonce. */
+  /** Operator requests that wait for the outcome of a change, by nonce. */
   std::map<std::string, HttpExchange> waiting_;
 };
 
@@ -86,7 +86,7 @@
 void
 ConfigurationKeeper::Private::Do(const AskPeersForConfiguration&)
 {
-  peers_.Ask(directory_.Others());
+  peers_.RequestConfigurations(directory_.Others());
 }
 
 void
@@ -179,7 +179,7 @@
     self->Run(self->decision_.OnTick(ReadMonotonicClock()));
   };
   QObject::connect(&self->tick_, &QTimer::timeout, self, tick);
-  self->tick_.start(kTick);
+  self->tick_.start(kTickInterval);
   tick();
 }
 
--- a/Source/Process/EntryProcess.cxx
+++ b/Source/Process/EntryProcess.cxx
@@ -30,8 +30,8 @@
 namespace {
 
 constexpr Millis kStopCheck{ 50 };
-/** After the bound, for the answers to those given up to leave. */
-constexpr Millis kLastAnswers{ 1000 };
+/** Time after the stop timeout to send the answers for abandoned requests. */
+constexpr Millis kFinalAnswerTimeout{ 1000 };
 
 }
 
@@ -100,9 +100,10 @@
   bool listening_ = true;
   StopNotice notice_;
   Instant stopDeadline_;
-  /** The bound came first; so many requests were answered unfinished. */
-  bool gaveUp_ = false;
-  std::size_t givenUp_ = 0;
+  /** Whether the stop timed out, and the number of requests that were answered
+   * unfinished. */
+  bool stopTimedOut_ = false;
+  std::size_t unfinishedRequests_ = 0;
   std::function<void()> stopped_;
 };
 
@@ -161,10 +162,10 @@
       }
       return known;
     },
-    [this](const HeartbeatMessage& aHeartbeat, Instant aHeardAt) {
+    [this](const HeartbeatMessage& aHeartbeat, Instant aReceivedAt) {
       keeper_.OnHeartbeat(aHeartbeat);
       for (const std::unique_ptr<Lane>& lane : lanes_) {
-        lane->Observe(aHeartbeat, aHeardAt);
+        lane->Observe(aHeartbeat, aReceivedAt);
       }
     });
   if (const auto* failure = std::get_if<Failure>(&opened)) {
@@ -264,10 +265,10 @@
     journalStore_.WriteAll();
     finished = journalStore_.Idle();
   }
-  if (!finished && now >= stopDeadline_ && !gaveUp_) {
-    gaveUp_ = true;
-    givenUp_ = open;
-    stopDeadline_ = now + kLastAnswers;
+  if (!finished && now >= stopDeadline_ && !stopTimedOut_) {
+    stopTimedOut_ = true;
+    unfinishedRequests_ = open;
+    stopDeadline_ = now + kFinalAnswerTimeout;
     for (const std::unique_ptr<Lane>& lane : lanes_) {
       lane->GiveUpAll();
     }
@@ -277,7 +278,8 @@
     return;
   }
   stopCheck_.stop();
-  LogChange("stopped", { { "in-flight-left", std::to_string(givenUp_) } });
+  LogChange("stopped",
+            { { "in-flight-left", std::to_string(unfinishedRequests_) } });
   std::exchange(stopped_, nullptr)();
 }
 
--- a/Source/Process/ExplainCommand.cxx
+++ b/Source/Process/ExplainCommand.cxx
@@ -17,7 +17,7 @@
 
 namespace {
 
-/** The steps of a request, as an entry answers them. */
+/** Steps of a request in an entry's response. */
 struct StepList
 {
   std::vector<RequestStep> steps_;
@@ -29,7 +29,7 @@
   }
 };
 
-/** What explain prints for scripts. */
+/** JSON output of the explain command, for scripts. */
 struct ExplainOutput
 {
   std::string requestId_;
@@ -70,9 +70,12 @@
             << aExplanation.reason_ << '\n';
 }
 
-/** Asks an entry for a page and returns its body, or reports why not. */
+/** Requests a page from an entry and returns its body. Prints a failure and
+ * returns none. */
 std::optional<std::string>
-AskPage(const CommandLine& aLine, const std::string& aTarget, ExitCode& aCode)
+RequestPage(const CommandLine& aLine,
+            const std::string& aTarget,
+            ExitCode& aCode)
 {
   const Result<EntryClient> client = EntryClient::Make(aLine);
   if (const auto* failure = std::get_if<Failure>(&client)) {
@@ -86,7 +89,8 @@
                            : std::nullopt;
 }
 
-/** Tasks are named JOB.INDEX; a request's id never ends so. */
+/** Returns the page for a task or a request. Task ids have the form JOB.INDEX;
+ * a request id never ends with .INDEX. */
 std::string
 ExplainPage(const std::string& aId)
 {
@@ -102,7 +106,7 @@
     QUrl::toPercentEncoding(QString::fromStdString(id)).toStdString();
   ExitCode code = ExitCode::Done;
   const std::optional<std::string> body =
-    AskPage(aLine, ExplainPage(id) + "?id=" + escaped, code);
+    RequestPage(aLine, ExplainPage(id) + "?id=" + escaped, code);
   if (!body.has_value()) {
     return code;
   }
@@ -129,7 +133,7 @@
 PrintSides(const CommandLine& aLine)
 {
   ExitCode code = ExitCode::Done;
-  const std::optional<std::string> body = AskPage(aLine, "/v1/sides", code);
+  const std::optional<std::string> body = RequestPage(aLine, "/v1/sides", code);
   if (body.has_value()) {
     std::cout << *body;
   }
@@ -141,17 +145,16 @@
 void
 AddExplainCommands(CommandTable& aTable)
 {
-  aTable.Add(
-    { "explain",
-      { "ID" },
-      "Says what became of one request or task: its steps and its verdict.",
-      "cactusrail explain entry1-k3-0-17 --entry 127.0.0.1:7001",
-      {},
-      true,
-      Explain });
+  aTable.Add({ "explain",
+               { "ID" },
+               "Prints the steps and the verdict of one request or task.",
+               "cactusrail explain entry1-k3-0-17 --entry 127.0.0.1:7001",
+               {},
+               true,
+               Explain });
   aTable.Add({ "list sides",
                {},
-               "Prints the sides that an entry hears of, as that entry does.",
+               "Prints the sides of an entry, with their state at that entry.",
                "cactusrail list sides --entry 127.0.0.1:7001",
                {},
                true,
--- a/Source/Process/MembershipListener.cxx
+++ b/Source/Process/MembershipListener.cxx
@@ -10,7 +10,8 @@
 
 namespace {
 
-/** Keeps an acknowledgement well within one datagram. */
+/** Maximum number of entries in an acknowledgement, so that it fits into one
+ * datagram. */
 constexpr std::size_t kMaxAckEntries = 32;
 
 }
@@ -19,9 +20,9 @@
 {
 public:
   void OnDatagram();
-  void Take(const HeartbeatMessage& aHeartbeat,
-            const QHostAddress& aFrom,
-            quint16 aFromPort);
+  void HandleHeartbeat(const HeartbeatMessage& aHeartbeat,
+                       const QHostAddress& aFrom,
+                       quint16 aFromPort);
   std::string Table() const;
 
   std::string entryName_;
@@ -56,14 +57,14 @@
       ++badDatagrams_;
       continue;
     }
-    Take(*heartbeat, from, fromPort);
+    HandleHeartbeat(*heartbeat, from, fromPort);
   }
 }
 
 void
-MembershipListener::Private::Take(const HeartbeatMessage& aHeartbeat,
-                                  const QHostAddress& aFrom,
-                                  quint16 aFromPort)
+MembershipListener::Private::HandleHeartbeat(const HeartbeatMessage& aHeartbeat,
+                                             const QHostAddress& aFrom,
+                                             quint16 aFromPort)
 {
   const Instant now = ReadMonotonicClock();
   const MembershipChange change = view_.Observe(aHeartbeat, now);
--- a/Source/Process/MembershipView.cxx
+++ b/Source/Process/MembershipView.cxx
@@ -4,8 +4,9 @@
 
 namespace {
 
-/** A silent side's last state is kept this long for operators to read. */
-constexpr Millis kForgetAfter{ 60000 };
+/** Time for which operators can still read the last state of an unusable side.
+ */
+constexpr Millis kSideRetention{ 60000 };
 
 }
 
@@ -16,8 +17,8 @@
   SideView& view = place->second;
   const HeartbeatMessage& known = view.heartbeat_;
   if (!isNew) {
-    // Datagrams may be late or doubled: a goodbye followed by a stale "ready"
-    // would bring a leaving upstream back. Incarnations are start times.
+    // Datagrams may be delayed or duplicated: a stale "ready" after a goodbye
+    // would make a leaving upstream usable again. Incarnations are start times.
     const bool older = aHeartbeat.sideIncarnation_ < known.sideIncarnation_ ||
                        (aHeartbeat.sideIncarnation_ == known.sideIncarnation_ &&
                         aHeartbeat.sequence_ <= known.sequence_);
@@ -72,7 +73,7 @@
 {
   std::vector<std::string> forgotten;
   for (auto place = sides_.begin(); place != sides_.end();) {
-    if (place->second.usableUntil_ + kForgetAfter < aNow) {
+    if (place->second.usableUntil_ + kSideRetention < aNow) {
       forgotten.push_back(place->first);
       place = sides_.erase(place);
     } else {
--- a/Source/Process/SideProcess.cxx
+++ b/Source/Process/SideProcess.cxx
@@ -28,18 +28,20 @@
 
 namespace {
 
-constexpr Millis kTick{ 50 };
+constexpr Millis kTickInterval{ 50 };
 constexpr std::size_t kJournalRequests = 20000;
-/** An announcement is void after this, unless repeated. */
-constexpr Millis kAnnouncementLife{ 3000 };
-/** Heartbeats that say "leaving" before the process ends. */
-constexpr Millis kLeavingNotice{ 1000 };
-/** After the bound, for the answers to those given up to leave. */
-constexpr Millis kLastAnswers{ 1000 };
-/** A stopping side ends only after entries have sent nothing for this long. */
-constexpr Millis kQuietBeforeEnd{ 200 };
-
-/** The JSON body of an upstream's announcement. */
+/** Time after which an announcement expires unless it is repeated. */
+constexpr Millis kAnnouncementTimeout{ 3000 };
+/** Time for which heartbeats with the state "leaving" are sent before the
+ * process ends. */
+constexpr Millis kLeavingPeriod{ 1000 };
+/** Time after the stop timeout to send the answers for abandoned attempts. */
+constexpr Millis kFinalAnswerTimeout{ 1000 };
+/** Time without messages from entries that must pass before a stopping side
+ * ends. */
+constexpr Millis kIdleBeforeStop{ 200 };
+
+/** JSON body of an upstream's announcement. */
 struct AnnouncementBody
 {
   std::string service_;
@@ -61,7 +63,7 @@
   }
 };
 
-/** The JSON body of an upstream's goodbye; may be left out. */
+/** JSON body of an upstream's goodbye; optional. */
 struct GoodbyeBody
 {
   std::uint64_t incarnation_ = 0;
@@ -73,7 +75,7 @@
   }
 };
 
-/** Headers that belong to one connection and are not passed on. */
+/** Returns whether a header is hop-by-hop and must not be forwarded. */
 bool
 IsHopHeader(std::string_view aName)
 {
@@ -100,18 +102,20 @@
   return kept;
 }
 
-/** An entry that heartbeats go to. */
+/** Entry to which heartbeats are sent. */
 struct KnownEntry
 {
   SocketAddress address_;
-  /** Named by the settings: never forgotten. */
+  /** Whether the settings list the entry; such an entry is never removed. */
   bool fromSettings_ = false;
-  /** When it was last heard or named by another. */
-  Instant heardAt_;
+  /** Time of the latest message from the entry, or of the latest message of
+   * another entry that lists it. */
+  Instant lastSeenAt_;
 };
 
-/** Entries come and go with their hosts; one that is silent is forgotten. */
-constexpr Millis kForgetEntryAfter{ 60000 };
+/** Time without a message after which an entry is removed, because entries
+ * join and leave with their hosts. */
+constexpr Millis kEntryRemovalTimeout{ 60000 };
 constexpr std::size_t kMaxEntries = 256;
 
 }
@@ -149,8 +153,8 @@
   void OnAnnounceRequest(const HttpExchange& aExchange);
   void OnConnection();
   void OnMessage(LinkId aLink, const WireMessage& aMessage);
-  void TakeConfiguration(const std::string& aText);
-  void Hear(const std::string& aEntry, Instant aNow);
+  void ApplyConfiguration(const std::string& aText);
+  void AddOrRefreshEntry(const std::string& aEntry, Instant aNow);
   void OnDatagram();
   void OnTick();
   void SendHeartbeat();
@@ -165,7 +169,7 @@
   Journal journal_;
   std::string class_;
   RequestMeter meter_{ Metrics::OfProcess() };
-  /** Null if the settings name no store. */
+  /** Null if the settings specify no object store. */
   std::unique_ptr<TableClient> store_;
   std::unique_ptr<JournalStore> journalStore_;
   SideCore core_;
@@ -181,17 +185,17 @@
   LinkId nextLink_ = 1;
   std::uint64_t sequence_ = 0;
   std::uint64_t badDatagrams_ = 0;
-  /** Connections ended for what they sent. */
+  /** Number of connections closed because of invalid messages. */
   std::uint64_t badLinks_ = 0;
   SideState loggedState_ = SideState::NoUpstream;
   bool stopping_ = false;
   Instant stopEarliest_;
-  /** When an entry last sent something. */
-  Instant quietSince_;
+  /** Time of the latest message from an entry. */
+  Instant lastEntryMessageAt_;
   Instant stopDeadline_;
-  /** The bound came first, perhaps with attempts unfinished. */
-  bool gaveUp_ = false;
-  bool leftOver_ = false;
+  /** Whether the stop timed out, possibly with unfinished attempts. */
+  bool stopTimedOut_ = false;
+  bool hasUnfinishedAttempts_ = false;
   std::function<void()> stopped_;
 };
 
@@ -223,7 +227,7 @@
   connect(&datagrams_, &QUdpSocket::readyRead, this, [this] { OnDatagram(); });
   connect(&tick_, &QTimer::timeout, this, [this] { OnTick(); });
   connect(&heartbeat_, &QTimer::timeout, this, [this] { SendHeartbeat(); });
-  tick_.start(kTick);
+  tick_.start(kTickInterval);
   if (journalStore_ != nullptr) {
     journalStore_->Start();
   }
@@ -254,10 +258,10 @@
     announcement.port_ = body.port_;
     announcement.slots_ = body.slots_;
     announcement.incarnation_ = body.incarnation_;
-    announcement.deadline_ = now + kAnnouncementLife;
+    announcement.deadline_ = now + kAnnouncementTimeout;
     Run(core_.OnAnnounce(announcement, now));
     answer.body_ =
-      "{\"repeatWithinMs\":" + std::to_string(kAnnouncementLife.count()) +
+      "{\"repeatWithinMs\":" + std::to_string(kAnnouncementTimeout.count()) +
       "}\n";
   } else if (aExchange.Method() == "POST" &&
              aExchange.Path() == "/v1/goodbye") {
@@ -304,7 +308,7 @@
 SideProcess::Private::OnMessage(LinkId aLink, const WireMessage& aMessage)
 {
   const Instant now = ReadMonotonicClock();
-  quietSince_ = now;
+  lastEntryMessageAt_ = now;
   if (const auto* dispatch = std::get_if<DispatchMessage>(&aMessage)) {
     meter_.Begin(dispatch->attemptId_, dispatch->tenant_, class_, now);
     Run(core_.OnDispatch(aLink, *dispatch, now));
@@ -318,7 +322,7 @@
     }
     links_.at(aLink)->Send(recollection);
   } else if (const auto* offered = std::get_if<ConfigMessage>(&aMessage)) {
-    TakeConfiguration(offered->text_);
+    ApplyConfiguration(offered->text_);
   } else if (std::holds_alternative<ConfigRequestMessage>(aMessage)) {
     const std::shared_ptr<const Configuration> held = configuration_.Current();
     links_.at(aLink)->Send(
@@ -326,9 +330,10 @@
   }
 }
 
-/** Takes a higher and valid version; a side has no other way to learn one. */
+/** Applies a valid configuration with a higher version. Entries are a side's
+ * only source of configurations. */
 void
-SideProcess::Private::TakeConfiguration(const std::string& aText)
+SideProcess::Private::ApplyConfiguration(const std::string& aText)
 {
   const Result<Configuration> parsed = ParseConfiguration(aText);
   const auto* offered = std::get_if<Configuration>(&parsed);
@@ -342,13 +347,13 @@
 }
 
 void
-SideProcess::Private::Hear(const std::string& aEntry, Instant aNow)
+SideProcess::Private::AddOrRefreshEntry(const std::string& aEntry, Instant aNow)
 {
   const Result<SocketAddress> parsed = ParseSocketAddress(aEntry);
   const auto* address = std::get_if<SocketAddress>(&parsed);
   const auto found = entries_.find(aEntry);
   if (found != entries_.end()) {
-    found->second.heardAt_ = aNow;
+    found->second.lastSeenAt_ = aNow;
   } else if (address != nullptr && entries_.size() < kMaxEntries) {
     entries_[aEntry] = { *address, false, aNow };
   }
@@ -374,7 +379,7 @@
       continue;
     }
     for (const std::string& entry : ack->entries_) {
-      Hear(entry, ReadMonotonicClock());
+      AddOrRefreshEntry(entry, ReadMonotonicClock());
     }
   }
 }
@@ -400,7 +405,7 @@
   const Instant now = ReadMonotonicClock();
   std::erase_if(entries_, [now](const auto& aEntry) {
     return !aEntry.second.fromSettings_ &&
-           aEntry.second.heardAt_ + kForgetEntryAfter < now;
+           aEntry.second.lastSeenAt_ + kEntryRemovalTimeout < now;
   });
   for (const auto& [text, known] : entries_) {
     const SocketAddress& entry = known.address_;
@@ -475,10 +480,11 @@
     return;
   }
   const Instant now = ReadMonotonicClock();
-  // An answer that is still in this process's buffers when it ends never
-  // reaches the caller, and one that is on its way is lost if the connection is
-  // reset because a late dispatch arrived unread.
-  const bool quiet = now >= quietSince_ + kQuietBeforeEnd;
+  // Wait until the buffers are flushed and entries send no more messages: an
+  // answer in this process's buffers is lost when the process ends, and an
+  // answer in flight is lost if the connection is reset because a late dispatch
+  // was not read.
+  const bool quiet = now >= lastEntryMessageAt_ + kIdleBeforeStop;
   const bool flushed =
     std::all_of(links_.begin(), links_.end(), [](const auto& aLink) {
       return aLink.second->Flushed();
@@ -489,15 +495,16 @@
   }
   const bool finished =
     served && (journalStore_ == nullptr || journalStore_->Idle());
-  if (!finished && now >= stopDeadline_ && !gaveUp_) {
-    gaveUp_ = true;
-    leftOver_ = !core_.Idle();
-    stopDeadline_ = now + kLastAnswers;
+  if (!finished && now >= stopDeadline_ && !stopTimedOut_) {
+    stopTimedOut_ = true;
+    hasUnfinishedAttempts_ = !core_.Idle();
+    stopDeadline_ = now + kFinalAnswerTimeout;
     Run(core_.OnStopBound(now));
     return;
   }
   if (finished || now >= stopDeadline_) {
-    LogChange("stopped", { { "in-flight-left", leftOver_ ? "yes" : "no" } });
+    LogChange("stopped",
+              { { "in-flight-left", hasUnfinishedAttempts_ ? "yes" : "no" } });
     std::exchange(stopped_, nullptr)();
   }
 }
@@ -525,7 +532,7 @@
 {
   const Instant now = ReadMonotonicClock();
   private_->stopping_ = true;
-  private_->stopEarliest_ = now + kLeavingNotice;
+  private_->stopEarliest_ = now + kLeavingPeriod;
   private_->stopDeadline_ = now + Millis(private_->settings_.stopBoundMs_);
   private_->stopped_ = std::move(aDone);
   LogChange("stopping", {});
--- a/Source/Process/WorkCommands.cxx
+++ b/Source/Process/WorkCommands.cxx
@@ -43,7 +43,8 @@
   return QUrl::toPercentEncoding(QString::fromStdString(aText)).toStdString();
 }
 
-/** The jobs that a selector chooses; the failure is reported already. */
+/** Returns the jobs that match a selector. After a failure, which is already
+ * reported, returns none and sets aCode. */
 std::optional<JobList>
 ReadJobs(const EntryClient& aClient,
          const std::string& aSelector,
@@ -90,13 +91,14 @@
   return table.Text();
 }
 
-/** Sends a verb and prints its one outcome. */
+/** Sends a verb and prints its outcome. */
 ExitCode
 SendVerb(const CommandLine& aLine,
          const EntryClient& aClient,
          const VerbRequest& aRequest)
 {
-  // Without its id a lost answer could not be asked for again.
+  // Print the id first: it is needed to query the outcome after a lost
+  // response.
   std::cerr << "operation " << aRequest.operationId_ << '\n';
   ExitCode code = ExitCode::Done;
   const std::optional<HttpReply> reply =
@@ -125,19 +127,20 @@
   return aLine.Given("operation") ? aLine.Text("operation") : NewOperationId();
 }
 
-/** Reads an option into a number; false, with the fault, if it is wrong. */
+/** Parses a numeric option. Returns false and sets the error if it is invalid.
+ */
 template<typename Number>
 bool
 ReadNumber(const CommandLine& aLine,
            const std::string& aName,
            Number& aNumber,
-           std::optional<Failure>& aFault)
+           std::optional<Failure>& aError)
 {
   constexpr std::int64_t kMaximum = 1000000000;
   const Result<std::int64_t> read =
     aLine.Number(aName, static_cast<std::int64_t>(aNumber), kMaximum);
   if (const auto* failure = std::get_if<Failure>(&read)) {
-    aFault = *failure;
+    aError = *failure;
     return false;
   }
   aNumber = static_cast<Number>(std::get<std::int64_t>(read));
@@ -181,15 +184,15 @@
   spec.labels_ = std::get<Labels>(labels);
   spec.idempotent_ = aLine.Given("idempotent");
   spec.declared_.milliCpus_ = kDefaultMilliCpus;
-  std::optional<Failure> fault;
+  std::optional<Failure> error;
   const bool read =
-    ReadNumber(aLine, "tasks", spec.tasks_, fault) &&
-    ReadNumber(aLine, "milli-cpus", spec.declared_.milliCpus_, fault) &&
-    ReadNumber(aLine, "memory-mb", spec.declared_.memoryMb_, fault) &&
-    ReadNumber(aLine, "accelerators", spec.declared_.accelerators_, fault) &&
-    ReadNumber(aLine, "run-ms", spec.declaredRunMs_, fault);
+    ReadNumber(aLine, "tasks", spec.tasks_, error) &&
+    ReadNumber(aLine, "milli-cpus", spec.declared_.milliCpus_, error) &&
+    ReadNumber(aLine, "memory-mb", spec.declared_.memoryMb_, error) &&
+    ReadNumber(aLine, "accelerators", spec.declared_.accelerators_, error) &&
+    ReadNumber(aLine, "run-ms", spec.declaredRunMs_, error);
   if (!read) {
-    return *fault;
+    return *error;
   }
   return spec;
 }
@@ -251,7 +254,7 @@
   return code;
 }
 
-/** Waits until no task of the selector's jobs is held by a worker any more. */
+/** Waits until no worker holds a task of the selected jobs. */
 ExitCode
 WaitUntilNoneHeld(const EntryClient& aClient, const std::string& aSelector)
 {
@@ -294,10 +297,10 @@
       chosen.push_back(job.id_);
     }
   }
-  // A repeat of an operation is asked of the entry whatever is there by now:
-  // it answers with the first outcome.
+  // Send a repeated operation even if no job matches now: the entry returns the
+  // first outcome.
   if (chosen.empty() && !aLine.Given("operation")) {
-    std::cerr << "The selector chose no job that is not over.\n";
+    std::cerr << "The selector matches no job that is still open.\n";
     return ExitCode::NotFound;
   }
   switch (ConfirmChoice(aLine, aVerb, chosen)) {
@@ -331,7 +334,7 @@
                       "a name for this operation; a repeat under the same name "
                       "returns the first outcome" });
   options.push_back(
-    { "wait", "", "wait until none of their tasks is on a worker" });
+    { "wait", "", "wait until none of their tasks is held on a worker" });
   aTable.Add(
     { aVerb,
       { "SELECTOR" },
@@ -349,17 +352,17 @@
   aTable.Add(
     { "create job",
       { "ID" },
-      "Creates a batch job, watcher or service of equal tasks.",
+      "Creates a batch job, watcher or service with identical tasks.",
       "cactusrail create job payouts --tenant payouts --program payout "
       "--tasks 6 --milli-cpus 4000 --label team=vouchers "
       "--entry 127.0.0.1:7001",
-      { { "tenant", "NAME", "whose it is" },
-        { "program", "NAME", "what it runs" },
+      { { "tenant", "NAME", "tenant that owns the job" },
+        { "program", "NAME", "program that each task runs" },
         { "kind", "batch|watcher|service", "batch by default" },
-        { "tasks", "NUMBER", "how many tasks; 1" },
-        { "milli-cpus", "NUMBER", "thousandths of a processor a task; 1000" },
-        { "memory-mb", "NUMBER", "MB of memory a task; 0" },
-        { "accelerators", "NUMBER", "accelerators a task; 0" },
+        { "tasks", "NUMBER", "number of tasks; 1" },
+        { "milli-cpus", "NUMBER", "thousandths of a processor per task; 1000" },
+        { "memory-mb", "NUMBER", "MB of memory per task; 0" },
+        { "accelerators", "NUMBER", "accelerators per task; 0" },
         { "run-ms", "NUMBER", "expected run time of a task in ms; 0: open" },
         { "idempotent", "", "a task may run more than once" },
         { "label", "NAME=VALUE", "a label; repeatable", true },
@@ -377,35 +380,36 @@
   AddCreateJob(aTable);
   aTable.Add({ "list jobs",
                { "[SELECTOR]" },
-               "Lists the jobs that a selector of labels chooses; all without "
-               "one.",
+               "Lists the jobs that match a selector of labels; all jobs "
+               "without a selector.",
                "cactusrail list jobs team=vouchers --entry 127.0.0.1:7001",
                {},
                true,
                ListJobs });
   aTable.Add({ "inspect job",
                { "ID" },
-               "Prints all that is recorded of one job, as JSON.",
+               "Prints the recorded state of one job as JSON.",
                "cactusrail inspect job payouts --entry 127.0.0.1:7001",
                {},
                true,
                InspectJob });
   AddSelectorVerb(aTable,
                   "pause",
-                  "Starts nothing more of these jobs until resume; what runs "
-                  "is checkpointed and stopped.");
+                  "Starts no more tasks of these jobs until resume; each task "
+                  "that runs is checkpointed and stopped.");
   AddSelectorVerb(aTable, "resume", "Ends a pause or a drain.");
   AddSelectorVerb(aTable,
                   "drain",
-                  "Starts nothing more of these jobs until resume; what runs "
-                  "goes on to its end.");
+                  "Starts no more tasks of these jobs until resume; each task "
+                  "that runs goes on until it ends.");
   AddSelectorVerb(aTable,
                   "stop",
-                  "Ends these jobs for good; what runs is checkpointed and "
-                  "stopped.");
+                  "Ends these jobs permanently; each task that runs is "
+                  "checkpointed and stopped.");
   AddSelectorVerb(aTable,
                   "cancel",
-                  "Ends these jobs for good; what runs is stopped at once.");
+                  "Ends these jobs permanently; each task that runs is stopped "
+                  "immediately.");
 }
 
 }
--- a/Source/Process/WorkPages.cxx
+++ b/Source/Process/WorkPages.cxx
@@ -26,7 +26,8 @@
 constexpr Millis kRecallTimeout{ 1000 };
 constexpr int kUnavailable = 503;
 
-/** The steps of a task, as /v1/explain answers those of a request. */
+/** Steps of a task, in the format in which /v1/explain returns the steps of a
+ * request. */
 struct TaskSteps
 {
   std::vector<RequestStep> steps_;
@@ -38,20 +39,21 @@
   }
 };
 
-/** What is known of a task so far, while entries and the table are asked. */
-struct TaskQuestion
+/** Collected results about a task while queries to entries and to the table are
+ * in flight. */
+struct TaskQuery
 {
   HttpExchange exchange_;
   std::string id_;
   TaskSteps known_;
-  std::optional<RequestStep> standing_;
+  std::optional<RequestStep> tableStep_;
   std::size_t open_ = 0;
 
   void Done();
 };
 
 void
-TaskQuestion::Done()
+TaskQuery::Done()
 {
   if (--open_ > 0) {
     return;
@@ -61,10 +63,10 @@
     steps.begin(), steps.end(), [](const auto& aLeft, const auto& aRight) {
       return aLeft.wallMicros_ < aRight.wallMicros_;
     });
-  if (standing_.has_value()) {
-    standing_->wallMicros_ = ReadWallClock();
-    standing_->host_ = "table";
-    steps.push_back(*standing_);
+  if (tableStep_.has_value()) {
+    tableStep_->wallMicros_ = ReadWallClock();
+    tableStep_->host_ = "table";
+    steps.push_back(*tableStep_);
   }
   HttpAnswer answer;
   answer.body_ = ToJson(known_) + "\n";
@@ -108,7 +110,7 @@
 
   using Session = std::shared_ptr<VerbSession>;
 
-  void TakeVerb(const HttpExchange& aExchange);
+  void HandleVerb(const HttpExchange& aExchange);
   void Advance(const HttpExchange& aExchange,
                const Session& aSession,
                const VerbStep& aStep);
@@ -117,10 +119,10 @@
   void Cells(const HttpExchange& aExchange);
   void Evict(const HttpExchange& aExchange);
   void ExplainTask(const HttpExchange& aExchange);
-  void AskEntry(const EntryRecord& aEntry,
-                const std::shared_ptr<TaskQuestion>& aQuestion);
-  void AskTable(const TaskName& aName,
-                const std::shared_ptr<TaskQuestion>& aQuestion);
+  void QueryEntry(const EntryRecord& aEntry,
+                  const std::shared_ptr<TaskQuery>& aQuery);
+  void QueryTable(const TaskName& aName,
+                  const std::shared_ptr<TaskQuery>& aQuery);
   void ReadBoth(const std::string& aId,
                 const HttpExchange& aExchange,
                 std::function<void(const std::vector<TableRow>&)> aCallback);
@@ -134,7 +136,7 @@
 };
 
 void
-WorkPages::Private::TakeVerb(const HttpExchange& aExchange)
+WorkPages::Private::HandleVerb(const HttpExchange& aExchange)
 {
   Result<VerbRequest> parsed = FromJson<VerbRequest>(aExchange.Body());
   if (const auto* failure = std::get_if<Failure>(&parsed)) {
@@ -178,7 +180,7 @@
     aExchange.Answer(OperatorError(answer.status_, answer.message_));
     return;
   }
-  scheduler_.Core().Nudge();
+  scheduler_.Core().RequestPoll();
   aExchange.Answer(JsonAnswer(ToJson(answer.operation_)));
 }
 
@@ -189,11 +191,12 @@
   std::function<void(const std::vector<TableRow>&)> aCallback)
 {
   const auto fail = [aExchange](const Failure& aFailure) {
-    aExchange.Answer(OperatorError(
-      kUnavailable, "The jobs can't be read now: " + aFailure.message_));
+    aExchange.Answer(OperatorError(kUnavailable,
+                                   "The jobs can't be read from the table: " +
+                                     aFailure.message_));
   };
-  // Open jobs first: a job that ends between the reads is then seen twice, and
-  // never missed.
+  // Read the open jobs first: a job that ends between the reads is then found
+  // twice instead of missed.
   table_.Read(
     kJobPrefix + aId,
     ReadMonotonicClock() + kTableTimeout,
@@ -284,8 +287,10 @@
 {
   const std::string task = aExchange.Query("task");
   if (!scheduler_.Core().Evict(task)) {
-    aExchange.Answer(OperatorError(
-      404, "This entry's cells hold no task '" + task + "'; ask the others."));
+    aExchange.Answer(
+      OperatorError(404,
+                    "This entry's cells hold no task '" + task +
+                      "'; send the request to the other entries."));
     return;
   }
   aExchange.Answer(JsonAnswer(R"({"evicting":true})"));
@@ -301,52 +306,52 @@
       OperatorError(400, "'" + id + "' is not the id of a task, JOB.INDEX."));
     return;
   }
-  auto question =
-    std::make_shared<TaskQuestion>(TaskQuestion{ aExchange, id, {}, {}, 2 });
-  question->known_.steps_ = journal_.Recall(id);
-  // Whichever entry owned the task's cell has its steps, while it lives.
+  auto query =
+    std::make_shared<TaskQuery>(TaskQuery{ aExchange, id, {}, {}, 2 });
+  query->known_.steps_ = journal_.Recall(id);
+  // Query all entries: each one that owned the task's cell has steps of the
+  // task in memory while its process runs.
   for (const EntryRecord& entry : directory_.Others()) {
-    ++question->open_;
-    AskEntry(entry, question);
+    ++query->open_;
+    QueryEntry(entry, query);
   }
-  AskTable(*name, question);
-  question->Done();
+  QueryTable(*name, query);
+  query->Done();
 }
 
 void
-WorkPages::Private::AskEntry(const EntryRecord& aEntry,
-                             const std::shared_ptr<TaskQuestion>& aQuestion)
+WorkPages::Private::QueryEntry(const EntryRecord& aEntry,
+                               const std::shared_ptr<TaskQuery>& aQuery)
 {
   HttpCall call;
   call.method_ = "GET";
-  call.url_ =
-    "http://" + aEntry.operators_ + "/v1/explain?id=" + aQuestion->id_;
+  call.url_ = "http://" + aEntry.operators_ + "/v1/explain?id=" + aQuery->id_;
   call.deadline_ = ReadMonotonicClock() + kRecallTimeout;
   SignCall(call);
-  caller_.Start(std::move(call), [aQuestion](const auto& aReply) {
+  caller_.Start(std::move(call), [aQuery](const auto& aReply) {
     if (const auto* reply = std::get_if<HttpReply>(&aReply)) {
       const Result<TaskSteps> parsed = FromJson<TaskSteps>(reply->body_);
       if (const auto* steps = std::get_if<TaskSteps>(&parsed)) {
-        auto& known = aQuestion->known_.steps_;
+        auto& known = aQuery->known_.steps_;
         known.insert(known.end(), steps->steps_.begin(), steps->steps_.end());
       }
     }
-    aQuestion->Done();
+    aQuery->Done();
   });
 }
 
 void
-WorkPages::Private::AskTable(const TaskName& aName,
-                             const std::shared_ptr<TaskQuestion>& aQuestion)
+WorkPages::Private::QueryTable(const TaskName& aName,
+                               const std::shared_ptr<TaskQuery>& aQuery)
 {
-  const auto take = [aName, aQuestion](const auto& aRows, bool aOver) {
+  const auto take = [aName, aQuery](const auto& aRows, bool aOver) {
     const auto* rows = std::get_if<std::vector<TableRow>>(&aRows);
     const std::string key = (aOver ? kDonePrefix : kJobPrefix) + aName.jobId_;
     for (const TableRow& row :
          rows == nullptr ? std::vector<TableRow>() : *rows) {
       const Result<JobRow> job = FromJson<JobRow>(row.value_);
       if (row.key_ == key && Succeeded(job)) {
-        aQuestion->standing_ =
+        aQuery->tableStep_ =
           StandingOf(std::get<JobRow>(job), aOver, aName.index_);
       }
     }
@@ -354,13 +359,13 @@
   const Instant deadline = ReadMonotonicClock() + kTableTimeout;
   table_.Read(kJobPrefix + aName.jobId_,
               deadline,
-              [this, take, aName, aQuestion, deadline](const auto& aOpen) {
+              [this, take, aName, aQuery, deadline](const auto& aOpen) {
                 take(aOpen, false);
                 table_.Read(kDonePrefix + aName.jobId_,
                             deadline,
-                            [take, aQuestion](const auto& aDone) {
+                            [take, aQuery](const auto& aDone) {
                               take(aDone, true);
-                              aQuestion->Done();
+                              aQuery->Done();
                             });
               });
 }
@@ -390,7 +395,7 @@
       (self->*aPage)(aExchange);
     });
   };
-  add("POST", "/v1/work", &Private::TakeVerb);
+  add("POST", "/v1/work", &Private::HandleVerb);
   add("GET", "/v1/jobs", &Private::List);
   add("GET", "/v1/jobs/inspect", &Private::Inspect);
   add("GET", "/v1/cells", &Private::Cells);
