--- a/Source/Process/AllCommands.h
+++ b/Source/Process/AllCommands.h
@@ -4,7 +4,7 @@
 
 namespace cactusrail {
 
-/** Every verb of the program, those that run a role included. */
+/** Returns all commands of the program, including those that run a role. */
 CommandTable
 AllCommands();
 
--- a/Source/Process/CallerCall.h
+++ b/Source/Process/CallerCall.h
@@ -11,13 +11,13 @@
 
 namespace cactusrail {
 
-/** A caller hands a job in. */
+/** Request to submit a job. */
 struct SubmitJob
 {
   JobDescription spec_;
 };
 
-/** A caller asks what became of a job. */
+/** Request for the state of a job. */
 struct AskJobState
 {
   std::string job_;
@@ -28,16 +28,17 @@
   std::string job_;
 };
 
-/** A caller asks how many jobs of a queue wait for their first start. */
+/** Request for the number of jobs of a queue that wait for their first start.
+ */
 struct AskWaiting
 {
   std::string queue_;
 };
 
-/** What can be answered at once. */
+/** Reasons for refusing a request immediately. */
 enum class CallerRefusal : std::uint8_t
 {
-  /** No queue of the configuration takes it. */
+  /** The configuration has no queue for the job. */
   NoSuchQueue,
   BadRequest,
   /** This entry has no configuration yet. */
@@ -47,19 +48,19 @@
 struct RefuseCall
 {
   CallerRefusal refusal_ = CallerRefusal::BadRequest;
-  /** A whole sentence for the caller. */
+  /** Message for the caller, as a whole sentence. */
   std::string why_;
 };
 
-/** One request of a caller, decoded. */
+/** Decoded request of a caller. */
 struct CallerCall
 {
-  /** The caller waits no longer than this. */
+  /** Time after which the caller no longer waits for a reply. */
   Instant deadline_;
   std::variant<RefuseCall, SubmitJob, AskJobState, CancelJob, AskWaiting> what_;
 };
 
-/** How a caller's request ended. */
+/** Outcome of a caller's request. */
 enum class CallerOutcome : std::uint8_t
 {
   /** The job, or its cancellation, is stored. */
@@ -69,9 +70,9 @@
   NoSuchJob,
   NoSuchQueue,
   BadRequest,
-  /** Surely not done; the caller may come back later. */
+  /** The request had no effect; the caller may retry later. */
   TryLater,
-  /** It may have been done. */
+  /** Unknown outcome: the request may have taken effect. */
   InDoubt,
 };
 
@@ -81,22 +82,23 @@
   JobState state_ = JobState::Pending;
   std::uint64_t waiting_ = 0;
   std::string why_;
-  /** For TryLater: when to come back. */
+  /** Delay before a retry, for TryLater. */
   Millis retryAfter_{ 1000 };
 };
 
-/** A reply that is its outcome, with a whole sentence for the caller. */
+/** Makes a reply with an outcome and a message, as a whole sentence. */
 CallerReply
 ReplyOf(CallerOutcome aOutcome, std::string aWhy = {});
 
-/** Surely not done; come back when the reply says. */
+/** Makes a TryLater reply: the request had no effect, and the caller may retry
+ * after retryAfter_. */
 CallerReply
 ReplyTryLater(std::string aWhy);
 
 CallerReply
 ReplyState(JobState aState);
 
-/** Whether what a caller asked for may have been done. */
+/** Returns whether a caller's request may have taken effect. */
 Verdict
 VerdictOf(CallerOutcome aOutcome);
 
--- a/Source/Process/CommandLine.cxx
+++ b/Source/Process/CommandLine.cxx
@@ -37,7 +37,8 @@
            : std::string(aArgument);
 }
 
-/** Whether a value is one of the option's "json|table"; so is no value. */
+/** Returns whether a value is empty or one of the option's choices, such as
+ * "json|table". */
 bool
 IsOneOf(const CommandOption& aOption, const std::string& aValue)
 {
@@ -97,8 +98,8 @@
   }
   options::variables_map found;
   try {
-    // Without guessing, so that a shortened option can't change its meaning
-    // when another one is added.
+    // Disables abbreviated options, whose meaning could change when another
+    // option is added.
     using Style = options::command_line_style::style_t;
     const int style = options::command_line_style::default_style &
                       ~static_cast<int>(Style::allow_guessing);
@@ -112,16 +113,18 @@
   } catch (const options::too_many_positional_options_error&) {
     return UsageError("There are too many arguments.");
   } catch (const options::error& error) {
-    // The library puts the words into a pattern, and a word that holds the
-    // pattern's own placeholder ('%...%') makes its text grow without end.
+    // The library substitutes the words into a template, and a word that
+    // contains the template's placeholder ('%...%') makes its message grow
+    // without end.
     const bool isHarmless =
       std::none_of(aWords.begin(), aWords.end(), [](const std::string& aWord) {
         return aWord.find('%') != std::string::npos;
       });
-    return UsageError(isHarmless ? std::string("The command line is wrong: ") +
-                                     error.what() + "."
-                                 : "An option of the command line is not known "
-                                   "or has no value; see --help.");
+    return UsageError(isHarmless
+                        ? std::string("The command line is invalid: ") +
+                            error.what() + "."
+                        : "An option of the command line is unknown "
+                          "or has no value; see --help.");
   }
   CommandLine line;
   for (const CommandOption& option : aOptions) {
@@ -234,12 +237,12 @@
   for (const std::string& text : texts) {
     const Result<SocketAddress> address = ParseSocketAddress(text);
     if (const auto* failure = std::get_if<Failure>(&address)) {
-      return UsageError("The entry's address is wrong: " + failure->message_);
+      return UsageError("The entry's address is invalid: " + failure->message_);
     }
     entries.push_back(std::get<SocketAddress>(address));
   }
   if (entries.empty()) {
-    return UsageError("Say which entry to ask: --entry IP:PORT, or set "
+    return UsageError("No entry is given. Use --entry IP:PORT, or set "
                       "CACTUSRAIL_ENTRY.");
   }
   return entries;
--- a/Source/Process/CommandLine.h
+++ b/Source/Process/CommandLine.h
@@ -16,54 +16,55 @@
 struct CommandOption
 {
   std::string name_;
-  /** What stands for its value in the help, "FILE"; empty for a flag. */
+  /** Placeholder of the value in the help, such as "FILE"; empty for a flag. */
   std::string value_;
   std::string help_;
   bool repeatable_ = false;
 };
 
-/** How a command prints its result. */
+/** Format in which a command prints its result. */
 enum class OutputFormat : std::uint8_t
 {
-  /** For people: columns. */
+  /** Columns, for interactive use. */
   Table,
-  /** For scripts: JSON, whose names stay. */
+  /** JSON with stable names, for scripts. */
   Json,
 };
 
 /**
- * The arguments and options that a command was given, checked against those
- * that it takes. Lives for one run of a command.
+ * Arguments and options passed to a command, validated against those that the
+ * command accepts. Exists for one run of a command.
  */
 class CommandLine
 {
 public:
   /**
-   * Reads the words after the command's own. An argument in brackets,
-   * "[FILE]", may be left out. Fails with BadInput and a whole sentence.
+   * Parses the words after the command's name. An argument in brackets, such as
+   * "[FILE]", is optional. Fails with BadInput and a message for the user.
    */
   static Result<CommandLine> Parse(std::span<const std::string> aWords,
                                    std::span<const std::string> aArguments,
                                    std::span<const CommandOption> aOptions);
 
-  /** The value of an argument or option; empty if it was not given. */
+  /** Returns the value of an argument or option; empty if it was not given. */
   std::string Text(std::string_view aName) const;
-  /** All values of a repeatable option. */
+  /** Returns all values of a repeatable option. */
   std::vector<std::string> List(std::string_view aName) const;
   bool Given(std::string_view aName) const;
 
-  /** A whole number from 0 on, or its default if it was not given. */
+  /** Returns an integer from 0 to aMaximum, or aDefault if it was not given. */
   Result<std::int64_t> Number(const std::string& aName,
                               std::int64_t aDefault,
                               std::int64_t aMaximum) const;
-  /** The NAME=VALUE pairs of a repeatable option. */
+  /** Returns the NAME=VALUE pairs of a repeatable option. */
   Result<Labels> LabelList(const std::string& aName) const;
 
   OutputFormat Output() const;
 
   /**
-   * The entries to ask, in order: --entry, or else CACTUSRAIL_ENTRY, which may
-   * hold several, with commas between. Fails with BadInput if there is none.
+   * Returns the entries to contact, in order: the --entry options, or else the
+   * comma-separated list in CACTUSRAIL_ENTRY. Fails with BadInput if there is
+   * none.
    */
   Result<std::vector<SocketAddress>> Entries() const;
 
@@ -71,7 +72,7 @@
   std::map<std::string, std::vector<std::string>, std::less<>> values_;
 };
 
-/** The options of every command that asks an entry. */
+/** Returns the options of commands that send a request to an entry. */
 std::span<const CommandOption>
 EntryOptions();
 
--- a/Source/Process/CommandTable.cxx
+++ b/Source/Process/CommandTable.cxx
@@ -31,7 +31,7 @@
   return line;
 }
 
-/** "create tenant" begins with the words "create", "tenant". */
+/** Splits text such as "create tenant" into its words. */
 std::vector<std::string>
 SplitAtSpaces(const std::string& aText)
 {
@@ -125,7 +125,7 @@
   }
   const Command* command = Find(aWords);
   if (command == nullptr) {
-    std::cerr << "There is no such command.\n" << Overview();
+    std::cerr << "Unknown command.\n" << Overview();
     return ExitCode::Usage;
   }
   const std::vector<CommandOption> options = command->AllOptions();
--- a/Source/Process/CommandTable.h
+++ b/Source/Process/CommandTable.h
@@ -10,38 +10,38 @@
 
 namespace cactusrail {
 
-/** One verb of the program. */
+/** One command of the program. */
 struct Command
 {
-  /** What the user types, "create tenant". */
+  /** Words that select the command, such as "create tenant". */
   std::string words_;
-  /** Positional arguments in order; one in brackets may be left out. */
+  /** Positional arguments in order; one in brackets is optional. */
   std::vector<std::string> arguments_;
   std::string summary_;
-  /** A whole line that can be copied. */
+  /** Complete command line for the help text. */
   std::string example_;
   std::vector<CommandOption> options_;
-  /** It takes --entry, --key-file and --output. */
+  /** Whether the command accepts --entry, --key-file and --output. */
   bool asksEntry_ = true;
   std::function<ExitCode(const CommandLine&)> run_;
 
-  /** Its own options, those of its kind, and --help. */
+  /** Returns the command's own options, those of entry commands, and --help. */
   std::vector<CommandOption> AllOptions() const;
 };
 
 /**
- * All verbs of the program: finds the one that is meant, prints the help, runs
- * it. Owned by main; each group of verbs adds its own.
+ * All commands of the program. Selects the command from the command line, runs
+ * it and prints the help. Owned by main; each group of commands adds its own.
  */
 class CommandTable
 {
 public:
   void Add(Command aCommand);
 
-  /** Runs the verb that the words begin with. */
+  /** Runs the command that the words begin with. */
   ExitCode Run(std::span<const std::string> aWords) const;
 
-  /** The usage of all verbs. */
+  /** Returns the usage of all commands. */
   std::string Overview() const;
 
   std::span<const Command> Commands() const;
@@ -52,7 +52,7 @@
   std::vector<Command> commands_;
 };
 
-/** The help of one verb, with its example and the exit codes. */
+/** Returns the help of one command, with its example and the exit codes. */
 std::string
 CommandHelp(const Command& aCommand);
 
--- a/Source/Process/CommonSettings.h
+++ b/Source/Process/CommonSettings.h
@@ -9,27 +9,28 @@
 
 namespace cactusrail {
 
-/** The settings that every role has: its log and its keys. */
+/** Settings that all roles have in common: log and keys. */
 struct CommonSettings
 {
   /** "line" or "json". */
   std::string logFormat_ = "line";
   /** "info" or "warning". */
   std::string logLevel_ = "info";
-  /** Empty: the process is open to whoever reaches it, on loopback only. */
+  /** If empty, the process accepts unauthenticated requests; allowed only if
+   * all addresses are loopback addresses. */
   KeyRing keys_;
-  /** The SHA-256 of the key with which a collector reads /metrics. */
+  /** SHA-256 of the bearer key with which a collector reads /metrics. */
   std::string collectorSha256_;
 
   static std::span<const SettingSpec> Specs();
 
-  /** A role's own specs and these. */
+  /** Returns a role's own specs followed by the common ones. */
   static std::vector<SettingSpec> JoinedWith(
     std::span<const SettingSpec> aRoleSpecs);
 
   /**
-   * Reads them from a checked file. Fails if there is no key although an
-   * address of the file can be reached from other hosts.
+   * Reads the settings from a validated file. Fails if there is no key although
+   * an address in the file is reachable from other hosts.
    */
   static Result<CommonSettings> From(const std::string& aPath,
                                      const SettingsFile& aFile,
--- a/Source/Process/Completion.cxx
+++ b/Source/Process/Completion.cxx
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** First words, or the second words after a first one, each once. */
+/** Returns the distinct first words, or the second words after aFirst. */
 std::string
 NextWords(const CommandTable& aTable, const std::string& aFirst)
 {
@@ -52,7 +52,7 @@
     "  local verb=\"${COMP_WORDS[1]} ${COMP_WORDS[2]}\"\n"
     "  local words=\"\"\n"
     "  case \"$verb\" in\n";
-  // The longer verb stands first: bash takes the first pattern that matches.
+  // Two-word commands come first, since bash uses the first matching pattern.
   for (const bool twoWords : { true, false }) {
     for (const Command& command : aTable.Commands()) {
       const bool hasTwo = command.words_.find(' ') != std::string::npos;
--- a/Source/Process/Completion.h
+++ b/Source/Process/Completion.h
@@ -6,7 +6,7 @@
 
 class CommandTable;
 
-/** The completion script for bash, made from the table of commands. */
+/** Generates the bash completion script from the command table. */
 std::string
 BashCompletion(const CommandTable& aTable);
 
--- a/Source/Process/Confirmation.cxx
+++ b/Source/Process/Confirmation.cxx
@@ -48,7 +48,7 @@
       return AskOnTerminal(aVerb, aChosen.size());
     });
   if (decision == ChoiceDecision::Refuse) {
-    std::cerr << "Nothing was done: the selector chose " << aChosen.size()
+    std::cerr << "Nothing was done: the selector matched " << aChosen.size()
               << "; add --yes to " << aVerb << " them all.\n";
   }
   return decision;
--- a/Source/Process/Confirmation.h
+++ b/Source/Process/Confirmation.h
@@ -9,23 +9,24 @@
 
 namespace cactusrail {
 
-/** The options --yes and --dry-run of commands that choose by a selector. */
+/** Returns the options --yes and --dry-run of commands with a selector. */
 std::span<const CommandOption>
 ChoiceOptions();
 
-/** What an operator's choice of things to act upon may lead to. */
+/** Whether a command acts on the objects that its selector matched. */
 enum class ChoiceDecision : std::uint8_t
 {
   Act,
-  /** --dry-run: the choice was printed, nothing is done. */
+  /** --dry-run: print the matched objects and do nothing. */
   OnlyShow,
-  /** More than one thing, and neither --yes nor a yes on the terminal. */
+  /** Several objects matched, without --yes or a confirmation on the terminal.
+   */
   Refuse,
 };
 
 /**
- * Decides whether a command acts on what its selector chose. Pure; aAnswer is
- * asked only if a terminal is there to ask.
+ * Decides whether a command acts on the objects that its selector matched.
+ * Calls aAnswer only if a terminal is available and a confirmation is needed.
  */
 template<typename Ask>
 ChoiceDecision
@@ -45,8 +46,9 @@
 }
 
 /**
- * Shows what was chosen where that is wanted, asks on a terminal, and says on
- * stderr why nothing is done if it is refused. aVerb is "drain".
+ * Prints the matched objects if needed, asks for confirmation on a terminal,
+ * and prints the reason of a refusal to stderr. aVerb is a verb such as
+ * "drain".
  */
 ChoiceDecision
 ConfirmChoice(const CommandLine& aLine,
--- a/Source/Process/ExitCode.h
+++ b/Source/Process/ExitCode.h
@@ -6,27 +6,28 @@
 
 namespace cactusrail {
 
-/** What the program ends with, for scripts. Numbers are part of the interface.
+/** Exit codes of the program. The numbers are part of the interface for
+ * scripts.
  */
 enum class ExitCode : std::uint8_t
 {
   Done = 0,
   Other = 1,
-  /** The command line, a settings file or a configuration is wrong. */
+  /** Invalid command line, settings file or configuration. */
   Usage = 2,
   NotFound = 3,
   Conflict = 4,
   /** Not allowed, overloaded, or not confirmed. */
   Refused = 5,
-  /** No entry, or not the table service behind it, could be reached. */
+  /** No entry, or the table service behind it, could not be reached. */
   Unreachable = 6,
 };
 
-/** The exit code for an entry's HTTP status; 2xx is Done. */
+/** Returns the exit code for an entry's HTTP status; Done for 2xx. */
 ExitCode
 ExitCodeOfStatus(int aStatus);
 
-/** The exit code for a failure of our own. */
+/** Returns the exit code for a failure of this process. */
 ExitCode
 ExitCodeOfFailure(const Failure& aFailure);
 
--- a/Source/Process/Guarded.h
+++ b/Source/Process/Guarded.h
@@ -8,11 +8,11 @@
 namespace cactusrail {
 
 /**
- * A callback that does nothing once its owner is gone.
+ * Wraps a callback so that it does nothing after its owner was destroyed.
  *
- * What made a call to the table may be destroyed before the answer comes from a
- * client that lives on, as the part of an entry that leads is when the lease is
- * lost. The pointer is null by then.
+ * The object that made a call to the table service may be destroyed before the
+ * client delivers the answer, for instance the leader part of an entry when its
+ * lease is lost. The wrapper's pointer to the owner is then null.
  */
 template<typename Callback>
 auto
--- a/Source/Process/Histogram.cxx
+++ b/Source/Process/Histogram.cxx
@@ -30,8 +30,8 @@
 Histogram::Add(Micros aDuration)
 {
   const double seconds = std::chrono::duration<double>(aDuration).count();
-  // Shorter and longer ones count in the first and the last bin: the logarithm
-  // of zero would lose the value, and so would an edge that rounds outwards.
+  // Clamps durations to the first and the last bin: the logarithm of zero would
+  // lose the value, and so would an edge that is rounded outwards.
   const Axis& axis = bins_.axis();
   const double shortest = axis.value(kHalfBin);
   const double longest = axis.value(kBins - kHalfBin);
--- a/Source/Process/Histogram.h
+++ b/Source/Process/Histogram.h
@@ -22,7 +22,7 @@
 
 namespace cactusrail {
 
-/** How many values were at most this large. */
+/** Cumulative bucket: number of values up to an upper bound. */
 struct HistogramBucket
 {
   double upperSeconds_ = 0.0;
@@ -36,7 +36,7 @@
   }
 };
 
-/** What a histogram says, in seconds. */
+/** Statistics and buckets of a histogram, in seconds. */
 struct HistogramSummary
 {
   std::uint64_t count_ = 0;
@@ -46,7 +46,7 @@
   double median_ = 0.0;
   double p99_ = 0.0;
   double p999_ = 0.0;
-  /** Rising; empty if there is no value. */
+  /** Sorted by upper bound; empty if there is no value. */
   std::vector<HistogramBucket> buckets_;
 
   template<class Archive>
@@ -64,11 +64,11 @@
 };
 
 /**
- * Durations in bins of equal ratio, 50 a decade from 10 µs to 1000 s, so that
- * a quantile is right within 2.4 %. The tail comes from the bins: the
- * accumulators' quantile estimate was six times off when the slow values came
- * together. Count, sum and extremes are exact and come from Accumulators.
- * Not safe from several threads; the owner locks.
+ * Histogram of durations with logarithmic bins, 50 per decade from 10 µs to
+ * 1000 s, so that quantiles are accurate within 2.4 %. Quantiles come from the
+ * bins: the quantile estimate of Boost.Accumulators was wrong by a factor of
+ * six when the slow values arrived together. Count, sum, minimum and maximum
+ * are exact and come from Boost.Accumulators. Not thread-safe; the owner locks.
  */
 class Histogram
 {
@@ -80,12 +80,12 @@
   std::uint64_t Count() const;
 
   /**
-   * The value below which this share of all values lies, in seconds; the
-   * geometric middle of its bin, held within the extremes. 0 if empty.
+   * Returns the quantile for a share from 0 to 1, in seconds: the geometric
+   * middle of its bin, clamped to the minimum and maximum. 0 if empty.
    */
   double Quantile(double aShare) const;
 
-  /** The summary, with a bucket for every aBinsABucket bins. */
+  /** Returns the summary, with one bucket per aBinsABucket bins. */
   HistogramSummary Summarize(std::size_t aBinsABucket) const;
 
 private:
--- a/Source/Process/HistogramPicture.cxx
+++ b/Source/Process/HistogramPicture.cxx
@@ -55,7 +55,7 @@
     counts.empty() ? 0 : *std::max_element(counts.begin(), counts.end());
   std::string bars;
   for (const std::uint64_t count : counts) {
-    // A bucket with anything in it is never drawn as empty.
+    // A non-empty bucket is never drawn as empty.
     const std::size_t steps = kBars.size() - 1;
     const std::size_t height =
       count == 0
--- a/Source/Process/HistogramPicture.h
+++ b/Source/Process/HistogramPicture.h
@@ -6,11 +6,11 @@
 
 namespace cactusrail {
 
-/** A bar for each bucket of a histogram, as high as its share; one line. */
+/** Draws a histogram as one line of bars, one bar per bucket. */
 std::string
 HistogramBars(const HistogramSummary& aSummary);
 
-/** All series and counts of a process, drawn for a terminal. */
+/** Formats all series and counts of a process for a terminal. */
 std::string
 MetricsPicture(const MetricsSnapshot& aSnapshot);
 
--- a/Source/Process/Instant.h
+++ b/Source/Process/Instant.h
@@ -7,9 +7,9 @@
 namespace cactusrail {
 
 /**
- * The clock of decisions: monotonic, of this process only. Decision modules
- * never read it; they are given an Instant, so that tests can drive them on a
- * virtual clock. Instants of two processes can't be compared.
+ * Monotonic clock for decisions. Decision modules never read it: they receive
+ * an Instant as an argument, so that tests can use a virtual clock. Instants of
+ * different processes must not be compared.
  */
 struct MonotonicClock
 {
@@ -17,7 +17,8 @@
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<MonotonicClock, duration>;
-  // NOLINTNEXTLINE(readability-identifier-naming): the standard names it so.
+  // NOLINTNEXTLINE(readability-identifier-naming): name required by the
+  // standard.
   static constexpr bool is_steady = true;
 };
 
@@ -28,9 +29,9 @@
 /**
  * Reads the monotonic clock; only the I/O layer calls it.
  *
- * CLOCK_BOOTTIME, not the standard's steady clock: that one stands still while
- * the host is suspended, so a lease would seem to last on waking although
- * everyone else saw it end.
+ * Uses CLOCK_BOOTTIME instead of std::chrono::steady_clock, which stops while
+ * the host is suspended: after a resume, a lease would still appear valid here
+ * although it has expired for all other processes.
  */
 inline Instant
 ReadMonotonicClock()
@@ -42,7 +43,7 @@
                                        std::chrono::nanoseconds(time.tv_nsec)));
 }
 
-/** Reads the clock that stands still while the host is suspended. */
+/** Reads the clock that stops while the host is suspended. */
 inline Instant
 ReadRunningClock()
 {
@@ -50,7 +51,7 @@
     std::chrono::steady_clock::now().time_since_epoch()));
 }
 
-/** Reads the wall clock, in microseconds since 1970, for people and logs. */
+/** Reads the wall clock, in microseconds since 1970, for output and logs. */
 inline std::int64_t
 ReadWallClock()
 {
@@ -59,7 +60,7 @@
     .count();
 }
 
-/** What is left until a deadline, in whole microseconds, never negative. */
+/** Returns the microseconds left until a deadline; 0 if it has passed. */
 inline std::uint64_t
 MicrosUntil(Instant aDeadline, Instant aNow)
 {
--- a/Source/Process/LinkListener.cxx
+++ b/Source/Process/LinkListener.cxx
@@ -34,7 +34,7 @@
   const QHostAddress host(QString::fromStdString(aAddress.ip_));
   if (!self->server_.listen(host, aAddress.port_)) {
     return NotRun(FailureKind::Refused,
-                  "Links can't be taken on " + aAddress.Text() + ": " +
+                  "Can't listen for links on " + aAddress.Text() + ": " +
                     self->server_.errorString().toStdString() +
                     ". Choose an address of this host with a free port.");
   }
--- a/Source/Process/LinkListener.h
+++ b/Source/Process/LinkListener.h
@@ -11,13 +11,14 @@
 
 namespace cactusrail {
 
-/** Takes links of our own processes on one address; owned by a process. */
+/** Accepts links from other cactusrail processes on one address; owned by a
+ * process. */
 class LinkListener : public QObject
 {
   Q_OBJECT
 
 public:
-  /** The callback owns the link: it is a child of nothing. */
+  /** The callback takes ownership of the link, which has no QObject parent. */
   using Callback = std::function<void(SideLink*)>;
 
   static Result<std::unique_ptr<LinkListener>> Listen(
--- a/Source/Process/Log.cxx
+++ b/Source/Process/Log.cxx
@@ -26,8 +26,8 @@
 namespace sinks = boost::log::sinks;
 using Severity = boost::log::trivial::severity_level;
 
-/** The library's end of the log: lines go out, or are counted; see LogOutput.
- */
+/** Boost.Log sink backend that passes lines to LogOutput, which writes or drops
+ * them. */
 class OutputBackend
   : public sinks::basic_formatted_sink_backend<char,
                                                sinks::synchronized_feeding>
@@ -38,7 +38,8 @@
   {
   }
 
-  // NOLINTNEXTLINE(readability-identifier-naming): the library names it so.
+  // NOLINTNEXTLINE(readability-identifier-naming): name required by the
+  // library.
   void consume(const boost::log::record_view&, const string_type& aLine)
   {
     output_.Write(aLine);
@@ -48,7 +49,7 @@
   LogOutput output_;
 };
 
-/** The log of the process: its name, its form and what it collapses. */
+/** State of the process's log: name, format and rate limiter. */
 struct ProcessLog
 {
   std::string name_;
--- a/Source/Process/Log.h
+++ b/Source/Process/Log.h
@@ -9,41 +9,43 @@
 namespace cactusrail {
 
 /**
- * A name and a value of a log line. Ids are as explain takes them; nothing of
- * a body, a header or a key is ever given.
+ * Name and value of one field of a log line. Ids have the form that the explain
+ * command accepts. Fields never contain parts of a body, a header or a key.
  */
 using LogField = std::pair<std::string_view, std::string>;
 
-/** How the log of a process is written. */
+/** Format, level and destination of a process's log. */
 struct LogOptions
 {
-  /** One JSON object a line; otherwise "time process event name=value". */
+  /** Write one JSON object per line; otherwise "time process event name=value".
+   */
   bool json_ = false;
-  /** Only lines of LogProblem(). */
+  /** Write only the lines of LogProblem(). */
   bool problemsOnly_ = false;
-  /** To standard output; otherwise to standard error. */
+  /** Write to standard output; otherwise to standard error. */
   bool standardOutput_ = false;
-  /** Lines of one event that are written in ten seconds; more are counted. */
+  /** Lines written per event in ten seconds; further lines are counted. */
   std::uint64_t linesAWindow_ = 10;
 };
 
-/** Sets up the log of this process: one line a change of state. */
+/** Sets up the log of this process, with one line per change of state. */
 void
 StartLog(std::string_view aProcessName, const LogOptions& aOptions = {});
 
 /**
  * Logs a change of state. Events of single requests are counted, not logged.
- * Beyond so many lines of one event within ten seconds, lines are only counted;
- * a line "collapsed" states how many. Safe from any thread.
+ * Lines of one event beyond LogOptions::linesAWindow_ in ten seconds are only
+ * counted; a line "collapsed" reports their number. Thread-safe.
  */
 void
 LogChange(std::string_view aEvent, std::initializer_list<LogField> aFields);
 
-/** Logs a change of state that an operator may have to act upon. */
+/** Logs a change of state that may require action by an operator. */
 void
 LogProblem(std::string_view aEvent, std::initializer_list<LogField> aFields);
 
-/** Writes the counts of floods that have ended; called every few seconds. */
+/** Logs the counts of rate-limited lines whose time window has ended; called
+ * every few seconds. */
 void
 FlushCollapsedLog();
 
--- a/Source/Process/LogCollapse.cxx
+++ b/Source/Process/LogCollapse.cxx
@@ -4,7 +4,7 @@
 
 namespace {
 
-/** Shared by all causes beyond the bound. */
+/** Cause under which all causes beyond Limits::maxCauses_ are counted. */
 constexpr std::string_view kOtherCauses = "other-causes";
 
 }
--- a/Source/Process/LogCollapse.h
+++ b/Source/Process/LogCollapse.h
@@ -10,7 +10,7 @@
 
 namespace cactusrail {
 
-/** A cause whose lines were only counted. */
+/** Number of lines of one cause that were counted instead of written. */
 struct CollapsedLines
 {
   std::string cause_;
@@ -18,9 +18,10 @@
 };
 
 /**
- * Decides which log lines are written. Pure. Of one cause the first lines of a
- * window are; later ones are counted, and the count comes out with the first
- * line after the window, or from Expire(). The number of causes is bounded.
+ * Rate limiter that decides which log lines are written. Performs no I/O. The
+ * first lines of each cause in a time window are written; further lines are
+ * only counted, and Expire() returns the counts of windows that have ended. The
+ * number of tracked causes is bounded.
  */
 class LogCollapse
 {
@@ -34,10 +35,10 @@
 
   explicit LogCollapse(const Limits& aLimits);
 
-  /** Whether a line of this cause is written now. */
+  /** Counts a line of this cause; returns whether to write it. */
   bool Admit(std::string_view aCause, Instant aNow);
 
-  /** The counts of windows that have ended; each comes out once. */
+  /** Returns and removes the counts of windows that have ended. */
   std::vector<CollapsedLines> Expire(Instant aNow);
 
 private:
--- a/Source/Process/LogLine.cxx
+++ b/Source/Process/LogLine.cxx
@@ -9,7 +9,8 @@
 
 namespace {
 
-/** A value from outside must not be able to begin a line of its own. */
+/** Replaces control characters, so that an external value can't forge a line.
+ */
 std::string
 OneLine(std::string_view aText)
 {
--- a/Source/Process/LogLine.h
+++ b/Source/Process/LogLine.h
@@ -8,7 +8,7 @@
 
 namespace cactusrail {
 
-/** What every log line holds. */
+/** Fields that every log line has. */
 struct LogHead
 {
   /** ISO 8601, UTC, with milliseconds. */
@@ -19,11 +19,11 @@
   std::string_view event_;
 };
 
-/** A line for people; control characters in values become spaces. */
+/** Formats a line as plain text; control characters in values become spaces. */
 std::string
 PlainLogLine(const LogHead& aHead, std::span<const LogField> aFields);
 
-/** The same as one JSON object. */
+/** Formats a line as one JSON object. */
 std::string
 JsonLogLine(const LogHead& aHead, std::span<const LogField> aFields);
 
--- a/Source/Process/LogOutput.cxx
+++ b/Source/Process/LogOutput.cxx
@@ -11,8 +11,8 @@
 
 namespace {
 
-/** A pipe that polls as writable takes this much at once without blocking; no
- * line of ours is as long, as none holds a body. */
+/** A pipe that polls as writable accepts this many bytes without blocking. Log
+ * lines are shorter, since they contain no bodies. */
 constexpr std::size_t kLongestLine = PIPE_BUF - 1;
 
 }
--- a/Source/Process/LogOutput.h
+++ b/Source/Process/LogOutput.h
@@ -6,24 +6,26 @@
 namespace cactusrail {
 
 /**
- * Where log lines go: a descriptor that may stop taking them. Owned by the
- * process's log, which calls it under a lock.
+ * Non-blocking writer of log lines to a descriptor. Owned by the process's log,
+ * which calls it under a lock.
  *
- * If the reader of standard output stops, the pipe fills, and a line that waits
- * for it blocks the only thread. So a line is written only if the descriptor
- * takes it whole now; else it is counted, and the count is written as a line
- * once there is room again.
+ * If the reader of standard output stops, the pipe fills, and a blocking write
+ * would stall the only thread. A line is therefore written only if the
+ * descriptor accepts it whole without blocking. Otherwise the line is dropped
+ * and counted, and the count is written as a line once the descriptor accepts
+ * data again.
  */
 class LogOutput
 {
 public:
-  /** The descriptor stays its owner's. */
+  /** Does not take ownership of the descriptor. */
   explicit LogOutput(int aDescriptor);
 
-  /** A line without its end; true if it was written. */
+  /** Writes a line given without its newline; returns whether it was written.
+   */
   bool Write(std::string_view aLine);
 
-  /** Lines dropped since the last one that said so. */
+  /** Number of lines dropped since the last "log-lines-dropped" line. */
   std::uint64_t Dropped() const { return dropped_; }
 
 private:
--- a/Source/Process/Metrics.cxx
+++ b/Source/Process/Metrics.cxx
@@ -8,9 +8,9 @@
 
 namespace {
 
-/** Not a name that a tenant can have. */
+/** Not a valid tenant name. */
 constexpr const char* kOther = "(other)";
-/** Two and a half buckets a decade on the pages. */
+/** Yields 2.5 buckets per decade on the metrics pages. */
 constexpr std::size_t kBinsABucket = 20;
 
 constexpr std::array<MetricName, kCounterCount> kCounterNames{ {
@@ -50,7 +50,7 @@
 
 using SeriesKey = std::pair<std::string, std::string>;
 
-/** Compares keys without making strings of the views that are looked up. */
+/** Compares keys without converting string views to strings on lookup. */
 struct SeriesLess
 {
   using is_transparent = void; // NOLINT(readability-identifier-naming)
@@ -96,11 +96,11 @@
   return kGaugeNames.at(static_cast<std::size_t>(aGauge));
 }
 
-/** Some of the series, under one lock. Series are never removed. */
+/** Part of the series, under one lock. Series are never removed. */
 class Metrics::Shard
 {
 public:
-  /** Changes a series under the lock; false if there is no room for it. */
+  /** Changes a series under the lock; returns false if the shard is full. */
   template<typename Change>
   bool With(std::string_view aTenant,
             std::string_view aClass,
--- a/Source/Process/Metrics.h
+++ b/Source/Process/Metrics.h
@@ -17,7 +17,7 @@
 
 namespace cactusrail {
 
-/** What a process counts; the order is that of kCounterNames. */
+/** Counters of a process, in the order of kCounterNames. */
 enum class Counter : std::uint8_t
 {
   Retries,
@@ -43,7 +43,7 @@
 constexpr std::size_t kCounterCount =
   static_cast<std::size_t>(Counter::SeriesOverflows) + 1;
 
-/** A value that goes up and down; the order is that of kGaugeNames. */
+/** Gauges of a process, in the order of kGaugeNames. */
 enum class Gauge : std::uint8_t
 {
   ConfigurationVersion,
@@ -54,7 +54,7 @@
 constexpr std::size_t kGaugeCount =
   static_cast<std::size_t>(Gauge::RequestsInProgress) + 1;
 
-/** The name of a counter or gauge, "table_calls", and what it means. */
+/** Name of a counter or gauge, such as "table_calls", and its help text. */
 struct MetricName
 {
   std::string_view name_;
@@ -67,16 +67,16 @@
 MetricName
 NameOf(Gauge aGauge);
 
-/** What is known of one tenant's requests of one class. */
+/** Metrics of one tenant's requests of one class. */
 struct SeriesSummary
 {
   std::string tenant_;
   std::string class_;
-  /** From the request's arrival to its final answer. */
+  /** Time from the request's arrival to its final answer. */
   HistogramSummary latency_;
-  /** What its attempts waited for a slot at a side. */
+  /** Time that attempts waited for a slot at a side. */
   HistogramSummary queued_;
-  /** What its attempts ran at an upstream. */
+  /** Time that attempts ran at an upstream. */
   HistogramSummary served_;
   std::uint64_t didNotRun_ = 0;
   std::uint64_t ran_ = 0;
@@ -96,7 +96,7 @@
   }
 };
 
-/** A counter or gauge with its value. */
+/** Value of one counter or gauge. */
 struct MetricValue
 {
   std::string name_;
@@ -109,7 +109,7 @@
   }
 };
 
-/** All that a process measured, at one time. */
+/** Copy of all metrics of a process. */
 struct MetricsSnapshot
 {
   std::string role_;
@@ -130,13 +130,13 @@
 };
 
 /**
- * What a process measures, per tenant and class. Safe from any thread: series
- * are spread over shards, each under its own lock, and a snapshot holds a lock
- * only while it copies one series.
+ * Metrics of a process per tenant and class. Thread-safe: series are spread
+ * over shards, each with its own lock, and a snapshot holds a lock only while
+ * it copies one series.
  *
- * Guards against memory that grows with the number of tenants: beyond
- * kMaxSeriesPerShard values of new tenants go into one series "(other)", and
- * each is counted as a series overflow.
+ * Memory does not grow without limit with the number of tenants: once a shard
+ * has kMaxSeriesPerShard series, values of new tenants go into one series
+ * "(other)", and each such value is counted as a series overflow.
  */
 class Metrics
 {
@@ -147,10 +147,11 @@
   Metrics();
   ~Metrics();
 
-  /** The metrics of this process. */
+  /** Returns the metrics of this process. */
   static Metrics& OfProcess();
 
-  /** Names the process for its page; called once, before any thread. */
+  /** Sets the role and name shown on the metrics page; called once, before any
+   * thread starts. */
   void Describe(std::string aRole, std::string aProcess);
 
   void RequestEnded(std::string_view aTenant,
@@ -166,7 +167,8 @@
 
   std::uint64_t Value(Counter aCounter) const;
 
-  /** The series in order of tenant and class, "(other)" last. */
+  /** Copies all metrics; series are sorted by tenant and class, with "(other)"
+   * last. */
   MetricsSnapshot Snapshot() const;
 
 private:
--- a/Source/Process/MetricsPage.cxx
+++ b/Source/Process/MetricsPage.cxx
@@ -8,7 +8,8 @@
 
 namespace {
 
-/** The three characters that the format wants escaped in a label's value. */
+/** Escapes the three characters that the format requires to be escaped in label
+ * values. */
 std::string
 Escaped(std::string_view aText)
 {
@@ -26,7 +27,7 @@
   return escaped;
 }
 
-/** One page in the making. */
+/** Builds one metrics page. */
 class PageWriter
 {
 public:
@@ -74,7 +75,7 @@
   std::ostringstream page_;
 };
 
-/** Adds up counts; all histograms have the same buckets, or none if empty. */
+/** Adds the counts; all histograms have the same buckets, or none if empty. */
 void
 AddTo(HistogramSummary& aTotal, const HistogramSummary& aPart)
 {
--- a/Source/Process/MetricsPage.h
+++ b/Source/Process/MetricsPage.h
@@ -11,27 +11,27 @@
 /** The content type of MetricsText(). */
 constexpr const char* kMetricsContentType = "text/plain; version=0.0.4";
 
-/** How finely a page tells requests apart. */
+/** Grouping of the requests on a metrics page. */
 enum class MetricsDetail : std::uint8_t
 {
-  /** By class: a page whose size does not grow with the tenants. */
+  /** By class: the page size does not grow with the number of tenants. */
   Class,
-  /** By tenant and class: at 210 tenants a page of megabytes. */
+  /** By tenant and class: with 210 tenants, the page takes megabytes. */
   Tenant,
 };
 
 /**
- * The page's detail from the query's "per". A collector asks often, so without
- * a word the small page is meant.
+ * Returns the detail that the query parameter "per" selects. Defaults to the
+ * small page, since collectors request it often.
  */
 MetricsDetail
 DetailOf(std::string_view aPer);
 
-/** A snapshot in the text exposition format that common collectors read. */
+/** Formats a snapshot in the Prometheus text exposition format. */
 std::string
 MetricsText(const MetricsSnapshot& aSnapshot, MetricsDetail aDetail);
 
-/** The same with the tenants of each class added up, without quantiles. */
+/** Sums the series of all tenants per class; the result has no quantiles. */
 MetricsSnapshot
 AddUpTenants(const MetricsSnapshot& aSnapshot);
 
--- a/Source/Process/MetricsRoutes.h
+++ b/Source/Process/MetricsRoutes.h
@@ -10,18 +10,18 @@
 
 /**
  * Adds GET /metrics (text exposition, by class or with ?per=tenant) and GET
- * /v1/metrics (JSON, for top). aRefresh sets the gauges just before each
- * reading.
+ * /v1/metrics (JSON, for the top command). aRefresh updates the gauges before
+ * each read.
  */
 void
 AddMetricsRoutes(OperatorRoutes& aRoutes,
                  const std::function<void()>& aRefresh);
 
-/** Serves GET /metrics and nothing else on an address of its own. */
+/** Serves only GET /metrics on the given address. */
 Result<std::unique_ptr<HttpFront>>
 ListenForMetrics(const SocketAddress& aAddress);
 
-/** The answer to GET /metrics of a process that has no operators' routes. */
+/** Answers GET /metrics for a process without operators' routes. */
 HttpAnswer
 MetricsAnswer(const HttpExchange& aExchange);
 
--- a/Source/Process/OperatorGuard.h
+++ b/Source/Process/OperatorGuard.h
@@ -8,21 +8,24 @@
 namespace cactusrail {
 
 /**
- * Lets only those through to an operators' address who hold a shared key:
- * signed requests, and a collector's bearer key for /metrics. /healthz and
- * /readyz are open: the balancer signs nothing and learns one bit from each.
- * Without keys all is open, which settings allow on loopback only. Used in the
- * thread of its front.
+ * Authenticates requests to an operators' address: accepts requests signed with
+ * a shared key, and a collector's bearer key for /metrics. /healthz and /readyz
+ * need no authentication, since the load balancer does not sign its requests
+ * and each of them reveals only one bit. Without keys all requests are
+ * accepted, which the settings allow on loopback only. Used in the thread of
+ * its front.
  */
 class OperatorGuard
 {
 public:
-  /** The address as operators reach it; a signature for another is refused. */
+  /** Sets the address that operators use; signatures for others are refused. */
   void SetAddress(std::string aAddress);
-  /** The SHA-256 of the collector's key, in hex; empty: none may read. */
+  /** Sets the SHA-256 of the collector's key, in hex; if empty, no bearer key
+   * is accepted. */
   void SetCollector(std::string aSha256);
 
-  /** Answers 401 and counts it if the request may not pass. */
+  /** Returns whether the request is allowed; otherwise answers 401 and counts
+   * the refusal. */
   bool Passes(const HttpExchange& aExchange);
 
 private:
--- a/Source/Process/OperatorRoutes.h
+++ b/Source/Process/OperatorRoutes.h
@@ -11,19 +11,19 @@
 namespace cactusrail {
 
 /**
- * The pages of an entry's operators' address. Each part of the entry adds its
- * own; the address is HTTP, so that operators' usual tools reach it. Owned by
- * EntryProcess, used in its thread.
+ * HTTP routes of an entry's operators' address. Each part of the entry adds its
+ * own routes. HTTP allows operators to use common tools. Owned by EntryProcess
+ * and used in its thread.
  */
 class OperatorRoutes
 {
 public:
   using Handler = std::function<void(const HttpExchange&)>;
 
-  /** A page is known by method and path together. */
+  /** Adds a route for a method and path. */
   void Add(std::string aMethod, std::string aPath, Handler aHandler);
 
-  /** Hands the exchange to its page, or answers 401, 404 or 405. */
+  /** Passes the exchange to its handler, or answers 401, 404 or 405. */
   void Handle(const HttpExchange& aExchange);
 
   OperatorGuard& Guard() { return guard_; }
@@ -33,7 +33,7 @@
   OperatorGuard guard_;
 };
 
-/** An answer in JSON: {"message": ...}, for errors of operators' pages. */
+/** Makes an error answer in JSON: {"message": ...}. */
 HttpAnswer
 OperatorError(int aStatus, const std::string& aMessage);
 
--- a/Source/Process/RequestMeter.h
+++ b/Source/Process/RequestMeter.h
@@ -12,18 +12,18 @@
 
 struct ServiceConfig;
 
-/** The class under which a service's requests are measured: its label "class",
- * or "urgent". */
+/** Returns the class of a service's requests in the metrics: the service's
+ * label "class", or "urgent" by default. */
 std::string
 ClassOf(const ServiceConfig& aService);
 
-/** The class that labels name; "urgent" if they name none. */
+/** Returns the value of the label "class", or "urgent" by default. */
 std::string
 ClassOf(const Labels& aLabels);
 
 /**
- * Measures the requests of one lane, or the attempts of a side, and hands the
- * results to the process's metrics. Owned by the lane, used in its thread.
+ * Measures the requests of one lane, or the attempts of a side, and adds the
+ * results to the process's metrics. Owned by the lane and used in its thread.
  */
 class RequestMeter
 {
@@ -35,13 +35,13 @@
              const std::string& aClass,
              Instant aNow);
 
-  /** A side ended an attempt of what was begun under that id. */
+  /** Records an attempt that a side ended for the request with this id. */
   void Attempt(const std::string& aId, const AnswerMessage& aAnswer);
 
-  /** The request has its final answer, or nobody to give it to. */
+  /** Records a request that has its final answer or whose caller is gone. */
   void End(const std::string& aRequestId, Verdict aVerdict, Instant aNow);
 
-  /** Adds what a guard has counted since the last time. */
+  /** Adds the increase of a guard's counts since the previous call. */
   void Publish(const HttpGuardCounts& aCounts);
 
 private:
--- a/Source/Process/RoleCommands.cxx
+++ b/Source/Process/RoleCommands.cxx
@@ -27,8 +27,8 @@
 }
 
 /**
- * Puts the keys of the settings file in force. A file that is wrong changes
- * nothing: a slip of the editor must not lock everybody out.
+ * Applies the keys of the settings file. An invalid file changes nothing, so
+ * that a typing error does not lock out all users.
  */
 template<typename Settings>
 void
@@ -49,7 +49,7 @@
 
 /**
  * Runs a role until it has stopped. The first signal begins a planned stop, a
- * second one ends the process at once.
+ * second one terminates the process immediately.
  */
 template<typename Process, typename Settings>
 ExitCode
--- a/Source/Process/RoleCommands.h
+++ b/Source/Process/RoleCommands.h
@@ -4,7 +4,7 @@
 
 class CommandTable;
 
-/** Adds entry and side, which run a role until it is stopped. */
+/** Adds the commands entry and side, which run a role until it is stopped. */
 void
 AddRoleCommands(CommandTable& aTable);
 
--- a/Source/Process/RoleOfSettings.h
+++ b/Source/Process/RoleOfSettings.h
@@ -7,8 +7,8 @@
 namespace cactusrail {
 
 /**
- * Checks a settings file of any role; the role is the one whose section the
- * file has. Returns "entry" or "side".
+ * Validates a settings file of any role; the sections of the file determine the
+ * role. Returns "entry" or "side".
  */
 Result<std::string>
 CheckSettings(const std::string& aPath);
--- a/Source/Process/RoleRunner.h
+++ b/Source/Process/RoleRunner.h
@@ -19,16 +19,16 @@
 
 /**
  * Runs a role of the fleet until it has stopped. The first SIGTERM begins a
- * planned stop, a second one ends the process at once. SIGHUP reads the
- * settings again: none of them can change without a restart, so what is read
- * is only checked and logged.
+ * planned stop, a second one terminates the process immediately. SIGHUP reads
+ * the settings file again, but only validates it and logs the result: none of
+ * the settings can change without a restart.
  */
 template<typename Process, typename Settings>
 ExitCode
 RunFleetRole(const CommandLine& aLine)
 {
   constexpr Millis kLogFlush{ 2000 };
-  // Enough for each decision on some 200 starts a second.
+  // Sufficient to log each decision at about 200 starts per second.
   constexpr std::uint64_t kLinesAWindow = 2000;
   StopSignal signal;
   const std::string path = aLine.Text("FILE");
--- a/Source/Process/SettingSpec.cxx
+++ b/Source/Process/SettingSpec.cxx
@@ -25,8 +25,8 @@
 std::string
 FindNumberFault(const SettingSpec& aSpec, const std::string& aValue)
 {
-  // Program_options takes -1 for an unsigned number as a large one: numbers
-  // are read signed and wide, then compared with the range.
+  // Boost.Program_options parses -1 as a large number for an unsigned type, so
+  // numbers are parsed as signed 64-bit integers and checked against the range.
   const Result<std::int64_t> number = ParseWholeNumber(aValue);
   const auto* value = std::get_if<std::int64_t>(&number);
   if (value != nullptr && *value >= aSpec.minimum_ &&
@@ -111,7 +111,7 @@
     const std::string part = aText.substr(start, end - start);
     const std::size_t first = part.find_first_not_of(' ');
     const std::size_t last = part.find_last_not_of(' ');
-    // An empty part is kept: whoever reads the list says that it is wrong.
+    // Keeps empty parts, which the code that reads the list reports as errors.
     parts.push_back(first == std::string::npos
                       ? std::string()
                       : part.substr(first, last - first + 1));
@@ -151,7 +151,7 @@
   const std::string ip(aText.substr(0, colon));
   const QHostAddress address(QString::fromStdString(ip));
   constexpr std::int64_t kMaxPort = 65535;
-  // Qt also takes "127.1" for a number; only the written-out form is ours.
+  // Qt also accepts "127.1"; only the full dotted form is allowed here.
   const bool writtenOut = address.toString().toStdString() == ip;
   if (number == nullptr || *number < 0 || *number > kMaxPort || !writtenOut ||
       address.protocol() != QAbstractSocket::IPv4Protocol) {
--- a/Source/Process/SettingSpec.h
+++ b/Source/Process/SettingSpec.h
@@ -10,47 +10,47 @@
 
 namespace cactusrail {
 
-/** What a setting's text must be. */
+/** Type of a setting's value. */
 enum class SettingKind : std::uint8_t
 {
   Text,
-  /** A whole number within the spec's range. */
+  /** An integer within the spec's range. */
   Number,
-  /** "IP:PORT", IPv4, port 0 for any free one. */
+  /** "IP:PORT", IPv4; port 0 selects any free port. */
   Address,
   /** "IP:PORT,IP:PORT". */
   AddressList,
   /** One of the spec's choices. */
   Choice,
-  /** "ID:HEX,ID:HEX", shared keys; never shown in a message. */
+  /** "ID:HEX,ID:HEX", shared keys; never included in a message. */
   Keys,
   /** A SHA-256 as 64 hex digits, or empty. */
   Sha256,
 };
 
-/** One key that a role's settings file may hold. */
+/** Specification of one key in a role's settings file. */
 struct SettingSpec
 {
   /** "section.key". */
   std::string_view name_;
   SettingKind kind_ = SettingKind::Text;
-  /** Used if the key is absent; a null view means that it is required. */
+  /** Value of an absent key; a null view means that the key is required. */
   std::string_view default_;
   std::int64_t minimum_ = 0;
   std::int64_t maximum_ = 0;
-  /** What it is for, for docs and error messages. */
+  /** Description for docs and error messages. */
   std::string_view help_;
-  /** "ms", "bytes"; empty for what is not counted. */
+  /** Unit such as "ms" or "bytes"; empty if the value has none. */
   std::string_view unit_{};
-  /** For SettingKind::Choice: "line,json". */
+  /** Comma-separated choices of a SettingKind::Choice, such as "line,json". */
   std::string_view choices_{};
-  /** SIGHUP puts a new value in force; otherwise a restart does. */
+  /** SIGHUP applies a new value; otherwise a restart is needed. */
   bool live_ = false;
 
   bool IsRequired() const { return default_.data() == nullptr; }
 };
 
-/** A required setting without a range. */
+/** Makes a required setting without a range. */
 constexpr SettingSpec
 RequiredSetting(std::string_view aName,
                 SettingKind aKind,
@@ -59,7 +59,7 @@
   return { aName, aKind, {}, 0, 0, aHelp };
 }
 
-/** A whole number with its default, range and unit. */
+/** Makes an integer setting with its default, range and unit. */
 constexpr SettingSpec
 NumberSetting(std::string_view aName,
               std::string_view aDefault,
@@ -72,15 +72,15 @@
            aUnit };
 }
 
-/** What a value should have been; empty if it is right. */
+/** Returns why a value is invalid; empty if it is valid. */
 std::string
 FindSettingFault(const SettingSpec& aSpec, const std::string& aValue);
 
-/** The parts of a list, without the spaces around them; none if it is empty. */
+/** Splits a list at its commas and trims the parts; empty for an empty list. */
 std::vector<std::string>
 SplitAtCommas(const std::string& aText);
 
-/** The whole text as a whole number. */
+/** Parses the entire text as an integer. */
 Result<std::int64_t>
 ParseWholeNumber(std::string_view aText);
 
--- a/Source/Process/SettingsFile.cxx
+++ b/Source/Process/SettingsFile.cxx
@@ -25,8 +25,9 @@
 }
 
 /**
- * Finds lines of a settings file for messages, since Program_options, which
- * reads the file, names none. Decides nothing about what the file means.
+ * Finds line numbers of a settings file for messages, since
+ * Boost.Program_options, which parses the file, does not report them. Has no
+ * effect on the interpretation of the file.
  */
 class LineFinder
 {
@@ -40,7 +41,7 @@
     }
   }
 
-  /** The last line that sets "section.key"; 0 if there is none. */
+  /** Returns the last line that sets "section.key"; 0 if there is none. */
   std::size_t LineOfKey(std::string_view aName) const
   {
     std::string section;
@@ -59,7 +60,8 @@
     return found;
   }
 
-  /** The first line that is neither a section nor "key = value"; 0 if none. */
+  /** Returns the first line that is neither a section nor "key = value"; 0 if
+   * there is none. */
   std::size_t LineOfBadSyntax() const
   {
     for (std::size_t number = 1; number <= lines_.size(); ++number) {
@@ -76,7 +78,7 @@
   std::vector<std::string> lines_;
 };
 
-/** "FILE:LINE: " or, if the line is not known, "FILE: ". */
+/** Returns "FILE:LINE: " or, if the line is unknown, "FILE: ". */
 std::string
 Place(const std::string& aPath, std::size_t aLine)
 {
@@ -148,9 +150,10 @@
     return BadSetting(
       aPath, lines.LineOfKey(name), name, "is given more than once.");
   } catch (const options::error&) {
-    // The library's own text is left out: it puts the bad line into a pattern,
-    // and a line that holds the pattern's own placeholder makes it grow without
-    // end, so that the process hangs instead of starting or failing.
+    // Omits the library's own message: the library substitutes the bad line
+    // into a template, and a line that contains the template's placeholder
+    // makes the message grow without end, so that the process hangs instead of
+    // starting or failing.
     return NotRun(FailureKind::BadInput,
                   Place(aPath, lines.LineOfBadSyntax()) +
                     "expected '[section]' and 'key = value' lines.");
--- a/Source/Process/SettingsFile.h
+++ b/Source/Process/SettingsFile.h
@@ -13,23 +13,23 @@
 
 namespace cactusrail {
 
-/** The checked settings of one process, from one INI file. */
+/** Validated settings of one process, from one INI file. */
 class SettingsFile
 {
 public:
   /**
-   * Reads and checks a file against the keys a role knows. The failure is one
-   * line with file, line, section, key and what was expected.
+   * Reads a file and validates it against the keys of a role. A failure's
+   * message is one line with file, line, section, key and expected value.
    */
   static Result<SettingsFile> Load(const std::string& aPath,
                                    std::span<const SettingSpec> aSpecs);
 
-  /** The same for text that is already here; aPath only names it. */
+  /** Parses settings from text; aPath is only used in messages. */
   static Result<SettingsFile> Parse(const std::string& aPath,
                                     const std::string& aText,
                                     std::span<const SettingSpec> aSpecs);
 
-  /** The text of a settings file, or why it can't be had. */
+  /** Returns the text of a settings file, or a failure if it can't be read. */
   static Result<std::string> ReadText(const std::string& aPath);
 
   const std::string& Text(std::string_view aName) const;
@@ -37,7 +37,7 @@
   SocketAddress Address(std::string_view aName) const;
   std::vector<SocketAddress> AddressList(std::string_view aName) const;
 
-  /** Every address in the file, of any key. */
+  /** Returns the addresses of all keys in the file. */
   std::vector<SocketAddress> AllAddresses(
     std::span<const SettingSpec> aSpecs) const;
 
--- a/Source/Process/SettingsReference.h
+++ b/Source/Process/SettingsReference.h
@@ -4,11 +4,11 @@
 
 namespace cactusrail {
 
-/** Every key of every role in columns, for a terminal. */
+/** Formats all keys of all roles as a table for a terminal. */
 std::string
 SettingsTable();
 
-/** The page docs/SETTINGS.md. */
+/** Generates the page docs/SETTINGS.md. */
 std::string
 SettingsMarkdown();
 
--- a/Source/Process/StopNotice.cxx
+++ b/Source/Process/StopNotice.cxx
@@ -6,15 +6,15 @@
 
 namespace {
 
-/** A balancer believes so many answers in a row. */
+/** Consecutive "not ready" answers after which a balancer removes an entry. */
 constexpr int kBelieved = 2;
 
-/** Two questions a second apart, and connections that were under way when the
- * second was answered. */
+/** Covers two health checks one second apart, and connections that were in
+ * flight when the second one was answered. */
 constexpr Millis kLeastNotice{ 2300 };
 
-/** A balancer that asks less often than this is not waited for, nor is one that
- * asks no more. */
+/** A balancer whose last health check is older than this is not waited for,
+ * because its interval is too long or it no longer sends health checks. */
 constexpr Millis kMostNotice{ 5000 };
 
 }
--- a/Source/Process/StopNotice.h
+++ b/Source/Process/StopNotice.h
@@ -5,8 +5,9 @@
 namespace cactusrail {
 
 /**
- * How long an entry that is being stopped still takes new connections: until
- * the balancer in front of it knows. Pure. Owned by the entry's process.
+ * Decides how long a stopping entry still accepts new connections: until the
+ * load balancer's health checks have reported "not ready". Performs no I/O.
+ * Owned by the entry's process.
  *
  * A balancer asks whether the entry is ready, each second as a rule, and sends
  * it callers until it has heard twice that it is not. No fixed time is right,
@@ -15,23 +16,23 @@
 class StopNotice
 {
 public:
-  /** The stop begins now; it must be over at aBound. */
+  /** Begins the stop, which must end by aBound. */
   void Begin(Instant aNow, Instant aBound);
 
-  /** The balancer asked, and was told whether the entry is ready. */
+  /** Records a health check of the balancer and the readiness it reported. */
   void OnAsked(bool aToldReady, Instant aNow);
 
-  /** Whether new connections are still taken. */
+  /** Returns whether new connections are still accepted. */
   bool TakesConnections(Instant aNow) const;
 
 private:
   bool begun_ = false;
-  /** Answers since then that said "not ready". */
+  /** Number of "not ready" answers since the stop began. */
   int told_ = 0;
   Instant askedAt_;
-  /** Callers are taken until then whatever the balancer was told. */
+  /** Earliest time at which new connections may be refused. */
   Instant leastUntil_;
-  /** Nothing is waited for beyond this. */
+  /** Time after which new connections are refused in any case. */
   Instant mostUntil_;
 };
 
--- a/Source/Process/StopSignal.cxx
+++ b/Source/Process/StopSignal.cxx
@@ -14,7 +14,8 @@
 constexpr char kStop = 1;
 constexpr char kReload = 2;
 
-/** The handler writes here: the only call it may safely make. */
+/** The signal handler writes to this descriptor, since write() is
+ * async-signal-safe. */
 int gWakeDescriptor = -1;
 
 void
--- a/Source/Process/StopSignal.h
+++ b/Source/Process/StopSignal.h
@@ -7,9 +7,9 @@
 namespace cactusrail {
 
 /**
- * Turns SIGTERM, SIGINT and SIGHUP into Qt signals, in the thread of the event
- * loop. One a process, owned by main. It works from its construction on, so a
- * signal during start-up is not lost.
+ * Converts SIGTERM, SIGINT and SIGHUP into Qt signals in the thread of the
+ * event loop. One instance per process, owned by main. The handlers are
+ * installed on construction, so that a signal during start-up is not lost.
  */
 class StopSignal : public QObject
 {
@@ -20,9 +20,9 @@
   ~StopSignal() override;
 
 Q_SIGNALS:
-  /** aCount is 1 for the first signal, 2 for the second... */
+  /** Emitted for each stop signal; aCount is 1 for the first one. */
   void Arrived(int aCount);
-  /** SIGHUP: read the settings that can change without a restart. */
+  /** Emitted on SIGHUP, to reload settings that need no restart. */
   void ReloadAsked();
 
 private:
--- a/Source/Process/Terminal.h
+++ b/Source/Process/Terminal.h
@@ -5,7 +5,7 @@
 
 namespace cactusrail {
 
-/** A standard stream of the process. */
+/** Standard stream of the process. */
 enum class Stream : std::uint8_t
 {
   Input,
@@ -13,19 +13,19 @@
   Error,
 };
 
-/** Whether a person is at the other end. */
+/** Returns whether the stream is connected to a terminal. */
 bool
 IsTerminal(Stream aStream);
 
 /**
- * Shows how far a long operation has come, on one line of stderr that is
- * written over. Nothing is written unless stderr is a terminal.
+ * Shows the progress of a long operation on one line of stderr, which each
+ * update overwrites. Writes nothing unless stderr is a terminal.
  */
 class ProgressLine
 {
 public:
   ProgressLine();
-  /** Ends the line if there is one. */
+  /** Ends the line if one was written. */
   ~ProgressLine();
 
   void Show(std::string_view aText);
--- a/Source/Process/TextTable.h
+++ b/Source/Process/TextTable.h
@@ -5,13 +5,14 @@
 
 namespace cactusrail {
 
-/** Rows of text in columns, for people. The first row holds the titles. */
+/** Text table with aligned columns. The first row contains the titles. */
 class TextTable
 {
 public:
   void AddRow(std::vector<std::string> aCells);
 
-  /** The rows, each column as wide as its widest cell, two spaces between. */
+  /** Formats the rows; columns are as wide as their widest cell and separated
+   * by two spaces. */
   std::string Text() const;
 
 private:
--- a/Source/Process/TopCommand.h
+++ b/Source/Process/TopCommand.h
@@ -4,7 +4,7 @@
 
 class CommandTable;
 
-/** Adds top, which draws an entry's metrics in a terminal. */
+/** Adds the command top, which shows an entry's metrics in a terminal. */
 void
 AddTopCommand(CommandTable& aTable);
 
--- a/Tests/Unit/CommandTableTest.cxx
+++ b/Tests/Unit/CommandTableTest.cxx
@@ -63,7 +63,7 @@
   cr_assert(
     RunWords({ "explain", "a", "--entry", "127.0.0.1:1", "--output", "xml" }) ==
     ExitCode::Usage);
-  // A shortened option could mean another one in the next version.
+  // The meaning of an abbreviated option could change in the next version.
   cr_assert(RunWords({ "explain", "a", "--entr", "127.0.0.1:1" }) ==
             ExitCode::Usage);
   cr_assert(RunWords({ "config", "check", "/no/such/file" }) ==
@@ -89,8 +89,8 @@
   cr_assert(!Succeeded(std::get<CommandLine>(bare).Entries()));
 }
 
-// A selector with a slip hits forty jobs where the operator meant one. Without
-// a person to ask and without --yes, nothing may be done.
+// A mistyped selector can match forty jobs instead of one. Without a terminal
+// for a confirmation and without --yes, the command must not act.
 Test(Confirmation, SeveralThingsNeedAYes)
 {
   const auto yes = [] { return true; };
@@ -104,8 +104,8 @@
   cr_assert(DecideChoice(2, true, true, true, yes) == ChoiceDecision::OnlyShow);
 }
 
-// The same trap as in the settings: a word that is like a placeholder of the
-// library's error text made the command hang.
+// A word that contains a placeholder of the library's error message made the
+// command hang, as a line of a settings file did.
 Test(CommandTable, AWordLikeAPlaceholderIsRefused, .timeout = 20)
 {
   cr_redirect_stderr();
--- a/Tests/Unit/LogOutputTest.cxx
+++ b/Tests/Unit/LogOutputTest.cxx
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** A pipe whose reader takes lines when the test says so. */
+/** Pipe that is only read when the test calls for it. */
 struct PipeBench
 {
   PipeBench() { cr_assert_eq(::pipe(ends_.data()), 0); }
@@ -20,7 +20,7 @@
     ::close(ends_[1]);
   }
 
-  /** Takes what is there, up to a part of the pipe. */
+  /** Reads the available data, up to a part of the pipe's capacity. */
   std::string Read()
   {
     std::array<char, 65536> text{};
@@ -34,9 +34,9 @@
 
 }
 
-// The collector that reads our standard output hangs. The pipe fills, and the
-// next line must not wait for it: a write that blocks would hang this test, as
-// it hung the only thread of a process that holds leases.
+// If the collector that reads standard output hangs, the pipe fills, and a
+// blocking write hung the only thread of a process that holds leases. A
+// blocking write would also hang this test.
 Test(LogOutput, ReaderThatStoppedBlocksNothing, .timeout = 20)
 {
   PipeBench pipe;
@@ -48,8 +48,8 @@
   cr_assert_gt(output.Dropped(), 0U);
 }
 
-// Once the reader goes on, it is told how many lines are missing, before the
-// next line: an engineer must not take the gap for silence.
+// Once the reader continues, the number of dropped lines is logged before the
+// next line, so that the gap is not mistaken for a period without events.
 Test(LogOutput, MissingLinesAreSaid, .timeout = 20)
 {
   PipeBench pipe;
@@ -68,7 +68,7 @@
   cr_assert(text.ends_with(said));
 }
 
-// A line that a pipe might take in parts is dropped whole and counted.
+// A line that a pipe might accept only in part is dropped and counted.
 Test(LogOutput, LineTooLongForOneWriteIsDropped, .timeout = 20)
 {
   PipeBench pipe;
--- a/Tests/Unit/LogTest.cxx
+++ b/Tests/Unit/LogTest.cxx
@@ -19,8 +19,8 @@
 
 }
 
-// A side flaps a thousand times a second. The disk of the log collector must
-// not fill, and the operator must still learn how often it was.
+// A side that flaps a thousand times per second must not fill the disk of the
+// log collector, and the log must still report the number of events.
 Test(LogCollapse, AFloodBecomesACount)
 {
   LogCollapse collapse(kLimits);
@@ -58,7 +58,7 @@
   cr_assert(ended.size() == 1 && ended[0].count_ == 95);
 }
 
-// A name from outside holds a line's end and the looks of another event.
+// An external name that contains a newline must not forge a log line.
 Test(LogLine, AValueCannotBeginALineOfItsOwn)
 {
   const LogHead head{ "2026-01-01T00:00:00.000Z", "entry1", "info", "changed" };
--- a/Tests/Unit/MetricsTest.cxx
+++ b/Tests/Unit/MetricsTest.cxx
@@ -25,8 +25,8 @@
 
 }
 
-// A noisy wave makes the last 1.5 % of the calls slow, all together. The
-// accumulators' own estimate of p99 came out six times too high for this.
+// When the last 1.5 % of the calls are slow, all in a row, the p99 estimate of
+// Boost.Accumulators is too high by a factor of six.
 Test(Histogram, TheTailOfANoisyWaveIsRight)
 {
   constexpr int kCalls = 20000;
@@ -53,8 +53,8 @@
   cr_assert(Histogram().Quantile(0.99) == 0.0);
 }
 
-// A caller, or a slip in a script that makes tenants, floods the process with
-// names. Memory must stay bounded, and what lost its own series is counted.
+// A caller or a faulty script may create very many tenant names. Memory must
+// stay bounded, and values without a series of their own are counted.
 Test(Metrics, ManyTenantsShareOneSeriesThatIsCounted)
 {
   constexpr std::uint64_t kTenants = 5000;
@@ -76,8 +76,8 @@
   cr_assert(total == kTenants);
 }
 
-// A collector reads the page while every lane records. No value may be lost or
-// counted twice.
+// A snapshot taken while all lanes record must not lose a value or count one
+// twice.
 Test(Metrics, SnapshotsWhileLanesRecordLoseNothing)
 {
   constexpr int kLanes = 4;
@@ -125,8 +125,9 @@
   cr_assert(has("cactusrail_table_failures_total" + who + "} 3\n"));
 }
 
-// A collector asks every few seconds at the target's 210 tenants. A page that
-// grew with them would take more than the node's whole allowance of traffic.
+// A collector requests the page every few seconds. With the target of 210
+// tenants, a page that grows with their number would exceed the node's whole
+// traffic allowance.
 Test(MetricsPage, WithoutAWordTenantsAreAddedUp)
 {
   Metrics metrics;
--- a/Tests/Unit/SettingsFileTest.cxx
+++ b/Tests/Unit/SettingsFileTest.cxx
@@ -20,7 +20,7 @@
                                   "announce = 127.0.0.1:0\n"
                                   "entries = 127.0.0.1:7002\n";
 
-/** The sentence that a side's settings are refused with; empty if taken. */
+/** Returns the error message for a side's settings; empty if they are valid. */
 std::string
 FaultOf(const std::string& aText)
 {
@@ -89,10 +89,8 @@
             "side.ini:8: [log] format: expected one of line,json, got 'xml'.");
 }
 
-// Program_options reads "-1" for an unsigned number as the largest one, so a
-// slip in a port opened port 65535.
-// A line of a settings file holds the placeholder of the library's own error
-// text. The text then grows without end: the process neither starts nor fails,
+// If a line of a settings file contains the placeholder of the library's error
+// message, the message grows without end: the process neither starts nor fails,
 // and SIGTERM does not end it. Found by the fuzz target "settings"; without the
 // guard this test does not end.
 Test(SettingsFile, ALineLikeAPlaceholderIsRefused, .timeout = 20)
@@ -101,6 +99,8 @@
     FaultOf("[side]\n%invalid_line%efix%refix%\n").starts_with("side.ini:2: "));
 }
 
+// Boost.Program_options parses "-1" as the largest number of an unsigned type,
+// so that a mistyped port opened port 65535.
 Test(SettingsFile, NumbersOutsideTheirRangeAreRefused)
 {
   const std::string file = kSideFile;
@@ -152,8 +152,8 @@
             std::string::npos);
 }
 
-// An operator moves a side from a laptop's settings to a host and forgets the
-// keys: everybody on the network could send it work.
+// If an operator moves a side from a laptop to a host and forgets the keys, any
+// host on the network could send it work.
 Test(SettingsFile, NoKeysAreAllowedOnLoopbackOnly)
 {
   const std::string open = Replaced(kSideFile, "127.0.0.1:0", "10.0.0.4:7100");
@@ -166,7 +166,7 @@
   cr_assert(FaultOf(open + keys) == "");
 }
 
-// A key with a slip must not end up in the log or on a screen.
+// An invalid key must not appear in the log or on a screen.
 Test(SettingsFile, AFaultyKeyIsNotShown)
 {
   const std::string secret(63, 'a');
--- a/Tests/Unit/StopNoticeTest.cxx
+++ b/Tests/Unit/StopNoticeTest.cxx
@@ -11,8 +11,8 @@
 
 }
 
-// A balancer asks each second, at whatever moment the stop begins: the entry
-// takes callers until it has answered the second time that it is not ready.
+// The balancer sends a health check each second, at any offset to the stop. The
+// entry accepts connections until its second "not ready" answer.
 Test(StopNotice, CallersAreTakenUntilTheBalancerWasToldTwice)
 {
   for (int phase = 0; phase < 1000; phase += 50) {
@@ -31,8 +31,8 @@
   }
 }
 
-// The machine is busy and the balancer's questions come late. The entry waits
-// for the second one, however long ago the signal came, up to five seconds.
+// Health checks may be late on a busy machine. The entry waits for the second
+// one after the stop signal, for up to five seconds.
 Test(StopNotice, LateQuestionsAreWaitedFor)
 {
   StopNotice notice;
@@ -45,8 +45,8 @@
   cr_assert_not(notice.TakesConnections(kStart + Millis(4100)));
 }
 
-// A balancer that is gone must not hold a stop up, nor must one that nobody has
-// put in front of the entry; and a stop ends at its bound.
+// A balancer that is gone or was never installed must not delay a stop, and a
+// stop must end at its bound.
 Test(StopNotice, NobodyIsWaitedForWithoutEnd)
 {
   StopNotice gone;
