--- a/Source/Process/CommandLine.cxx
+++ b/Source/Process/CommandLine.cxx
@@ -242,8 +242,9 @@
     entries.push_back(std::get<SocketAddress>(address));
   }
   if (entries.empty()) {
-    return UsageError("No entry is given. Use --entry IP:PORT, or set "
-                      "CACTUSRAIL_ENTRY.");
+    return UsageError(
+      "The entry to contact is missing. Use --entry IP:PORT, or set "
+      "CACTUSRAIL_ENTRY.");
   }
   return entries;
 }
--- a/Source/Process/CommandTable.cxx
+++ b/Source/Process/CommandTable.cxx
@@ -125,7 +125,7 @@
   }
   const Command* command = Find(aWords);
   if (command == nullptr) {
-    std::cerr << "Unknown command.\n" << Overview();
+    std::cerr << "There is no such command.\n" << Overview();
     return ExitCode::Usage;
   }
   const std::vector<CommandOption> options = command->AllOptions();
--- a/Source/Process/OperatorRoutes.cxx
+++ b/Source/Process/OperatorRoutes.cxx
@@ -52,11 +52,11 @@
       return aHandler.first.first == aExchange.Path();
     });
   aExchange.Answer(
-    pathKnown ? OperatorError(405,
-                              "This page does not support the method " +
-                                aExchange.Method() + ".")
-              : OperatorError(
-                  404, "The page " + aExchange.Path() + " does not exist."));
+    pathKnown
+      ? OperatorError(405,
+                      "This page does not support the method " +
+                        aExchange.Method() + ".")
+      : OperatorError(404, "There is no page " + aExchange.Path() + " here."));
 }
 
 }
