--- a/Source/Process/CommandLine.cxx
+++ b/Source/Process/CommandLine.cxx
@@ -116,11 +116,11 @@
     // The library substitutes the words into a template, and a word that
     // contains the template's placeholder ('%...%') makes its message grow
     // without end.
-    const bool isHarmless =
+    const bool hasNoPlaceholder =
       std::none_of(aWords.begin(), aWords.end(), [](const std::string& aWord) {
         return aWord.find('%') != std::string::npos;
       });
-    return UsageError(isHarmless
+    return UsageError(hasNoPlaceholder
                         ? std::string("The command line is invalid: ") +
                             error.what() + "."
                         : "An option of the command line is unknown "
--- a/Source/Process/CommandTable.cxx
+++ b/Source/Process/CommandTable.cxx
@@ -59,7 +59,7 @@
 Command::AllOptions() const
 {
   std::vector<CommandOption> all = options_;
-  if (asksEntry_) {
+  if (needsEntry_) {
     all.insert(all.end(), EntryOptions().begin(), EntryOptions().end());
   }
   all.push_back({ "help", "", "print this help" });
--- a/Source/Process/CommandTable.h
+++ b/Source/Process/CommandTable.h
@@ -22,7 +22,7 @@
   std::string example_;
   std::vector<CommandOption> options_;
   /** Whether the command accepts --entry, --key-file and --output. */
-  bool asksEntry_ = true;
+  bool needsEntry_ = true;
   std::function<ExitCode(const CommandLine&)> run_;
 
   /** Returns the command's own options, those of entry commands, and --help. */
--- a/Source/Process/Histogram.cxx
+++ b/Source/Process/Histogram.cxx
@@ -36,13 +36,13 @@
   const double shortest = axis.value(kHalfBin);
   const double longest = axis.value(kBins - kHalfBin);
   bins_(std::clamp(seconds, shortest, longest));
-  exact_(seconds);
+  exactStatistics_(seconds);
 }
 
 std::uint64_t
 Histogram::Count() const
 {
-  return accumulators::count(exact_);
+  return accumulators::count(exactStatistics_);
 }
 
 double
@@ -68,21 +68,22 @@
     }
   }
   const double middle = std::sqrt(axis.value(bin) * axis.value(bin + 1));
-  return std::clamp(
-    middle, accumulators::min(exact_), accumulators::max(exact_));
+  return std::clamp(middle,
+                    accumulators::min(exactStatistics_),
+                    accumulators::max(exactStatistics_));
 }
 
 HistogramSummary
-Histogram::Summarize(std::size_t aBinsABucket) const
+Histogram::Summarize(std::size_t aBinsPerBucket) const
 {
   HistogramSummary summary;
   summary.count_ = Count();
   if (summary.count_ == 0) {
     return summary;
   }
-  summary.sum_ = accumulators::sum(exact_);
-  summary.minimum_ = accumulators::min(exact_);
-  summary.maximum_ = accumulators::max(exact_);
+  summary.sum_ = accumulators::sum(exactStatistics_);
+  summary.minimum_ = accumulators::min(exactStatistics_);
+  summary.maximum_ = accumulators::max(exactStatistics_);
   summary.median_ = Quantile(kMedian);
   summary.p99_ = Quantile(kP99);
   summary.p999_ = Quantile(kP999);
@@ -90,7 +91,7 @@
   double passed = 0.0;
   for (int bin = 0; bin < kBins; ++bin) {
     passed += BinCount(bin);
-    if ((bin + 1) % static_cast<int>(aBinsABucket) == 0) {
+    if ((bin + 1) % static_cast<int>(aBinsPerBucket) == 0) {
       summary.buckets_.push_back(
         { axis.value(bin + 1), static_cast<std::uint64_t>(passed) });
     }
--- a/Source/Process/Histogram.h
+++ b/Source/Process/Histogram.h
@@ -85,8 +85,8 @@
    */
   double Quantile(double aShare) const;
 
-  /** Returns the summary, with one bucket per aBinsABucket bins. */
-  HistogramSummary Summarize(std::size_t aBinsABucket) const;
+  /** Returns the summary, with one bucket per aBinsPerBucket bins. */
+  HistogramSummary Summarize(std::size_t aBinsPerBucket) const;
 
 private:
   using Axis =
@@ -96,7 +96,7 @@
 
   double BinCount(int aBin) const;
 
-  using Exact = boost::accumulators::accumulator_set<
+  using ExactStatistics = boost::accumulators::accumulator_set<
     double,
     boost::accumulators::stats<boost::accumulators::tag::count,
                                boost::accumulators::tag::sum,
@@ -104,7 +104,7 @@
                                boost::accumulators::tag::max>>;
 
   Bins bins_;
-  Exact exact_;
+  ExactStatistics exactStatistics_;
 };
 
 }
--- a/Source/Process/HistogramPicture.cxx
+++ b/Source/Process/HistogramPicture.cxx
@@ -67,7 +67,7 @@
 }
 
 std::string
-MetricsPicture(const MetricsSnapshot& aSnapshot)
+FormatMetrics(const MetricsSnapshot& aSnapshot)
 {
   TextTable table;
   table.AddRow({ "TENANT",
--- a/Source/Process/HistogramPicture.h
+++ b/Source/Process/HistogramPicture.h
@@ -12,6 +12,6 @@
 
 /** Formats all series and counts of a process for a terminal. */
 std::string
-MetricsPicture(const MetricsSnapshot& aSnapshot);
+FormatMetrics(const MetricsSnapshot& aSnapshot);
 
 }
--- a/Source/Process/Log.cxx
+++ b/Source/Process/Log.cxx
@@ -108,7 +108,7 @@
   TheLog().name_ = aProcessName;
   TheLog().options_ = aOptions;
   LogCollapse::Limits limits;
-  limits.linesAWindow_ = aOptions.linesAWindow_;
+  limits.linesPerWindow_ = aOptions.linesPerWindow_;
   TheLog().collapse_ = LogCollapse(limits);
   using Sink = sinks::synchronous_sink<OutputBackend>;
   const auto sink = boost::make_shared<Sink>(boost::make_shared<OutputBackend>(
--- a/Source/Process/Log.h
+++ b/Source/Process/Log.h
@@ -25,7 +25,7 @@
   /** Write to standard output; otherwise to standard error. */
   bool standardOutput_ = false;
   /** Lines written per event in ten seconds; further lines are counted. */
-  std::uint64_t linesAWindow_ = 10;
+  std::uint64_t linesPerWindow_ = 10;
 };
 
 /** Sets up the log of this process, with one line per change of state. */
@@ -34,7 +34,7 @@
 
 /**
  * Logs a change of state. Events of single requests are counted, not logged.
- * Lines of one event beyond LogOptions::linesAWindow_ in ten seconds are only
+ * Lines of one event beyond LogOptions::linesPerWindow_ in ten seconds are only
  * counted; a line "collapsed" reports their number. Thread-safe.
  */
 void
--- a/Source/Process/LogCollapse.cxx
+++ b/Source/Process/LogCollapse.cxx
@@ -25,7 +25,7 @@
       windows_.try_emplace(cause, Window{ aNow + limits_.window_, 0 }).first;
   }
   ++found->second.lines_;
-  return found->second.lines_ <= limits_.linesAWindow_;
+  return found->second.lines_ <= limits_.linesPerWindow_;
 }
 
 std::vector<CollapsedLines>
@@ -37,9 +37,9 @@
       ++place;
       continue;
     }
-    if (place->second.lines_ > limits_.linesAWindow_) {
+    if (place->second.lines_ > limits_.linesPerWindow_) {
       ended.push_back(
-        { place->first, place->second.lines_ - limits_.linesAWindow_ });
+        { place->first, place->second.lines_ - limits_.linesPerWindow_ });
     }
     place = windows_.erase(place);
   }
--- a/Source/Process/LogCollapse.h
+++ b/Source/Process/LogCollapse.h
@@ -28,7 +28,7 @@
 public:
   struct Limits
   {
-    std::uint64_t linesAWindow_ = 10;
+    std::uint64_t linesPerWindow_ = 10;
     Millis window_{ 10000 };
     std::size_t maxCauses_ = 1000;
   };
--- a/Source/Process/LogLine.cxx
+++ b/Source/Process/LogLine.cxx
@@ -12,7 +12,7 @@
 /** Replaces control characters, so that an external value can't forge a line.
  */
 std::string
-OneLine(std::string_view aText)
+ReplaceControlCharacters(std::string_view aText)
 {
   std::string line(aText);
   std::replace_if(
@@ -44,7 +44,7 @@
     line += ' ';
     line += name;
     line += '=';
-    line += OneLine(value);
+    line += ReplaceControlCharacters(value);
   }
   return line;
 }
--- a/Source/Process/LogOutput.cxx
+++ b/Source/Process/LogOutput.cxx
@@ -13,7 +13,7 @@
 
 /** A pipe that polls as writable accepts this many bytes without blocking. Log
  * lines are shorter, since they contain no bodies. */
-constexpr std::size_t kLongestLine = PIPE_BUF - 1;
+constexpr std::size_t kMaxLineBytes = PIPE_BUF - 1;
 
 }
 
@@ -23,16 +23,16 @@
 }
 
 bool
-LogOutput::TakesALine() const
+LogOutput::CanWriteWithoutBlocking() const
 {
   pollfd state{ descriptor_, POLLOUT, 0 };
   return ::poll(&state, 1, 0) == 1 && (state.revents & POLLOUT) != 0;
 }
 
 bool
-LogOutput::WriteWhole(std::string_view aLine)
+LogOutput::TryWriteLine(std::string_view aLine)
 {
-  if (aLine.size() > kLongestLine || !TakesALine()) {
+  if (aLine.size() > kMaxLineBytes || !CanWriteWithoutBlocking()) {
     return false;
   }
   std::string line(aLine);
@@ -47,11 +47,11 @@
   if (dropped_ > 0) {
     const std::string count = "{\"event\":\"log-lines-dropped\",\"lines\":\"" +
                               std::to_string(dropped_) + "\"}";
-    if (WriteWhole(count)) {
+    if (TryWriteLine(count)) {
       dropped_ = 0;
     }
   }
-  if (dropped_ == 0 && WriteWhole(aLine)) {
+  if (dropped_ == 0 && TryWriteLine(aLine)) {
     return true;
   }
   ++dropped_;
--- a/Source/Process/LogOutput.h
+++ b/Source/Process/LogOutput.h
@@ -29,8 +29,8 @@
   std::uint64_t Dropped() const { return dropped_; }
 
 private:
-  bool TakesALine() const;
-  bool WriteWhole(std::string_view aLine);
+  bool CanWriteWithoutBlocking() const;
+  bool TryWriteLine(std::string_view aLine);
 
   int descriptor_;
   std::uint64_t dropped_ = 0;
--- a/Source/Process/Metrics.cxx
+++ b/Source/Process/Metrics.cxx
@@ -9,9 +9,9 @@
 namespace {
 
 /** Not a valid tenant name. */
-constexpr const char* kOther = "(other)";
+constexpr const char* kOverflowTenant = "(other)";
 /** Yields 2.5 buckets per decade on the metrics pages. */
-constexpr std::size_t kBinsABucket = 20;
+constexpr std::size_t kBinsPerBucket = 20;
 
 constexpr std::array<MetricName, kCounterCount> kCounterNames{ {
   { "retries", "attempts after the first one of a request" },
@@ -71,9 +71,9 @@
   SeriesSummary summary;
   summary.tenant_ = aKey.first;
   summary.class_ = aKey.second;
-  summary.latency_ = aSeries.latency_.Summarize(kBinsABucket);
-  summary.queued_ = aSeries.queued_.Summarize(kBinsABucket);
-  summary.served_ = aSeries.served_.Summarize(kBinsABucket);
+  summary.latency_ = aSeries.latency_.Summarize(kBinsPerBucket);
+  summary.queued_ = aSeries.queued_.Summarize(kBinsPerBucket);
+  summary.served_ = aSeries.served_.Summarize(kBinsPerBucket);
   summary.didNotRun_ =
     aSeries.verdicts_.at(static_cast<std::size_t>(Verdict::DidNotRun));
   summary.ran_ = aSeries.verdicts_.at(static_cast<std::size_t>(Verdict::Ran));
@@ -102,9 +102,9 @@
 public:
   /** Changes a series under the lock; returns false if the shard is full. */
   template<typename Change>
-  bool With(std::string_view aTenant,
-            std::string_view aClass,
-            const Change& aChange)
+  bool ChangeSeries(std::string_view aTenant,
+                    std::string_view aClass,
+                    const Change& aChange)
   {
     const std::lock_guard lock(mutex_);
     const auto key = std::make_pair(aTenant, aClass);
@@ -176,15 +176,15 @@
 
 template<typename Change>
 void
-Metrics::With(std::string_view aTenant,
-              std::string_view aClass,
-              const Change& aChange)
+Metrics::ChangeSeries(std::string_view aTenant,
+                      std::string_view aClass,
+                      const Change& aChange)
 {
-  if (ShardOf(aTenant, aClass).With(aTenant, aClass, aChange)) {
+  if (ShardOf(aTenant, aClass).ChangeSeries(aTenant, aClass, aChange)) {
     return;
   }
   Count(Counter::SeriesOverflows);
-  overflow_->With(kOther, kOther, aChange);
+  overflow_->ChangeSeries(kOverflowTenant, kOverflowTenant, aChange);
 }
 
 void
@@ -193,7 +193,7 @@
                       Verdict aVerdict,
                       Micros aLatency)
 {
-  With(aTenant, aClass, [&](Series& aSeries) {
+  ChangeSeries(aTenant, aClass, [&](Series& aSeries) {
     aSeries.latency_.Add(aLatency);
     ++aSeries.verdicts_.at(static_cast<std::size_t>(aVerdict));
   });
@@ -205,17 +205,17 @@
                       Micros aQueued,
                       Micros aServed)
 {
-  With(aTenant, aClass, [&](Series& aSeries) {
+  ChangeSeries(aTenant, aClass, [&](Series& aSeries) {
     aSeries.queued_.Add(aQueued);
     aSeries.served_.Add(aServed);
   });
 }
 
 void
-Metrics::Count(Counter aCounter, std::uint64_t aHowMany)
+Metrics::Count(Counter aCounter, std::uint64_t aIncrement)
 {
   counters_.at(static_cast<std::size_t>(aCounter))
-    .fetch_add(aHowMany, std::memory_order_relaxed);
+    .fetch_add(aIncrement, std::memory_order_relaxed);
 }
 
 void
--- a/Source/Process/Metrics.h
+++ b/Source/Process/Metrics.h
@@ -162,7 +162,7 @@
                     std::string_view aClass,
                     Micros aQueued,
                     Micros aServed);
-  void Count(Counter aCounter, std::uint64_t aHowMany = 1);
+  void Count(Counter aCounter, std::uint64_t aIncrement = 1);
   void Set(Gauge aGauge, std::uint64_t aValue);
 
   std::uint64_t Value(Counter aCounter) const;
@@ -175,9 +175,9 @@
   class Shard;
 
   template<typename Change>
-  void With(std::string_view aTenant,
-            std::string_view aClass,
-            const Change& aChange);
+  void ChangeSeries(std::string_view aTenant,
+                    std::string_view aClass,
+                    const Change& aChange);
   Shard& ShardOf(std::string_view aTenant, std::string_view aClass) const;
 
   std::string role_;
--- a/Source/Process/MetricsPage.cxx
+++ b/Source/Process/MetricsPage.cxx
@@ -142,7 +142,7 @@
 }
 
 MetricsSnapshot
-AddUpTenants(const MetricsSnapshot& aSnapshot)
+SumTenants(const MetricsSnapshot& aSnapshot)
 {
   MetricsSnapshot sum = aSnapshot;
   std::map<std::string, SeriesSummary> classes;
@@ -167,7 +167,7 @@
 MetricsText(const MetricsSnapshot& aSnapshot, MetricsDetail aDetail)
 {
   if (aDetail == MetricsDetail::Class) {
-    return MetricsText(AddUpTenants(aSnapshot), MetricsDetail::Tenant);
+    return MetricsText(SumTenants(aSnapshot), MetricsDetail::Tenant);
   }
   PageWriter writer(aSnapshot);
   WriteVerdicts(writer, aSnapshot);
--- a/Source/Process/MetricsPage.h
+++ b/Source/Process/MetricsPage.h
@@ -33,6 +33,6 @@
 
 /** Sums the series of all tenants per class; the result has no quantiles. */
 MetricsSnapshot
-AddUpTenants(const MetricsSnapshot& aSnapshot);
+SumTenants(const MetricsSnapshot& aSnapshot);
 
 }
--- a/Source/Process/RequestMeter.cxx
+++ b/Source/Process/RequestMeter.cxx
@@ -41,17 +41,17 @@
                     const std::string& aClass,
                     Instant aNow)
 {
-  open_[aRequestId] = Open{ aTenant, aClass, aNow, 0 };
+  openRequests_[aRequestId] = OpenRequest{ aTenant, aClass, aNow, 0 };
 }
 
 void
 RequestMeter::Attempt(const std::string& aId, const AnswerMessage& aAnswer)
 {
-  const auto found = open_.find(aId);
-  if (found == open_.end()) {
+  const auto found = openRequests_.find(aId);
+  if (found == openRequests_.end()) {
     return;
   }
-  Open& open = found->second;
+  OpenRequest& open = found->second;
   if (++open.attempts_ > 1) {
     metrics_.Count(Counter::Retries);
   }
@@ -65,17 +65,17 @@
 void
 RequestMeter::End(const std::string& aRequestId, Verdict aVerdict, Instant aNow)
 {
-  const auto found = open_.find(aRequestId);
-  if (found == open_.end()) {
+  const auto found = openRequests_.find(aRequestId);
+  if (found == openRequests_.end()) {
     return;
   }
-  const Open& open = found->second;
+  const OpenRequest& open = found->second;
   if (aVerdict == Verdict::DidNotRun) {
     metrics_.Count(Counter::Refusals);
   }
   metrics_.RequestEnded(
     open.tenant_, open.class_, aVerdict, aNow - open.begun_);
-  open_.erase(found);
+  openRequests_.erase(found);
 }
 
 void
--- a/Source/Process/RequestMeter.h
+++ b/Source/Process/RequestMeter.h
@@ -45,7 +45,7 @@
   void Publish(const HttpGuardCounts& aCounts);
 
 private:
-  struct Open
+  struct OpenRequest
   {
     std::string tenant_;
     std::string class_;
@@ -54,7 +54,7 @@
   };
 
   Metrics& metrics_;
-  std::unordered_map<std::string, Open> open_;
+  std::unordered_map<std::string, OpenRequest> openRequests_;
   HttpGuardCounts published_;
 };
 
--- a/Source/Process/RoleRunner.h
+++ b/Source/Process/RoleRunner.h
@@ -29,7 +29,7 @@
 {
   constexpr Millis kLogFlush{ 2000 };
   // Sufficient to log each decision at about 200 starts per second.
-  constexpr std::uint64_t kLinesAWindow = 2000;
+  constexpr std::uint64_t kLinesPerWindow = 2000;
   StopSignal signal;
   const std::string path = aLine.Text("FILE");
   const Result<Settings> loaded = Settings::Load(path);
@@ -40,7 +40,7 @@
   const auto& settings = std::get<Settings>(loaded);
   StartLog(
     settings.fleet_.name_,
-    { true, settings.fleet_.logLevel_ == "warning", true, kLinesAWindow });
+    { true, settings.fleet_.logLevel_ == "warning", true, kLinesPerWindow });
   Result<std::unique_ptr<Process>> started = Process::Start(settings);
   if (const auto* failure = std::get_if<Failure>(&started)) {
     std::cerr << failure->message_ << '\n';
--- a/Source/Process/SettingSpec.cxx
+++ b/Source/Process/SettingSpec.cxx
@@ -152,8 +152,9 @@
   const QHostAddress address(QString::fromStdString(ip));
   constexpr std::int64_t kMaxPort = 65535;
   // Qt also accepts "127.1"; only the full dotted form is allowed here.
-  const bool writtenOut = address.toString().toStdString() == ip;
-  if (number == nullptr || *number < 0 || *number > kMaxPort || !writtenOut ||
+  const bool isFullDottedForm = address.toString().toStdString() == ip;
+  if (number == nullptr || *number < 0 || *number > kMaxPort ||
+      !isFullDottedForm ||
       address.protocol() != QAbstractSocket::IPv4Protocol) {
     return bad();
   }
--- a/Source/Process/SettingsFile.cxx
+++ b/Source/Process/SettingsFile.cxx
@@ -80,7 +80,7 @@
 
 /** Returns "FILE:LINE: " or, if the line is unknown, "FILE: ". */
 std::string
-Place(const std::string& aPath, std::size_t aLine)
+FilePosition(const std::string& aPath, std::size_t aLine)
 {
   return aLine == 0 ? aPath + ": " : aPath + ":" + std::to_string(aLine) + ": ";
 }
@@ -97,7 +97,7 @@
   const std::string key(dot == std::string_view::npos ? aName
                                                       : aName.substr(dot + 1));
   return NotRun(FailureKind::BadInput,
-                Place(aPath, aLine) + "[" + section + "] " + key + ": " +
+                FilePosition(aPath, aLine) + "[" + section + "] " + key + ": " +
                   aExpected);
 }
 
@@ -155,7 +155,7 @@
     // makes the message grow without end, so that the process hangs instead of
     // starting or failing.
     return NotRun(FailureKind::BadInput,
-                  Place(aPath, lines.LineOfBadSyntax()) +
+                  FilePosition(aPath, lines.LineOfBadSyntax()) +
                     "expected '[section]' and 'key = value' lines.");
   }
   SettingsFile settings;
--- a/Source/Process/SettingsReference.cxx
+++ b/Source/Process/SettingsReference.cxx
@@ -51,7 +51,7 @@
 }
 
 std::string
-ForceText(const SettingSpec& aSpec)
+AppliedByText(const SettingSpec& aSpec)
 {
   return aSpec.live_ ? "SIGHUP" : "restart";
 }
@@ -72,7 +72,7 @@
 {
   return "| `" + std::string(aSpec.name_) + "` | " + OrNone(aSpec.unit_) +
          " | " + DefaultText(aSpec) + " | " + RangeText(aSpec) + " | " +
-         ForceText(aSpec) + " | " + std::string(aSpec.help_) + " |\n";
+         AppliedByText(aSpec) + " | " + std::string(aSpec.help_) + " |\n";
 }
 
 }
@@ -90,7 +90,7 @@
                      OrNone(spec.unit_),
                      DefaultText(spec),
                      RangeText(spec),
-                     ForceText(spec),
+                     AppliedByText(spec),
                      std::string(spec.help_) });
     }
   }
--- a/Source/Process/StopNotice.h
+++ b/Source/Process/StopNotice.h
@@ -16,11 +16,11 @@
 class StopNotice
 {
 public:
-  /** Begins the stop, which must end by aBound. */
-  void Begin(Instant aNow, Instant aBound);
+  /** Begins the stop, which must end by aDeadline. */
+  void Begin(Instant aNow, Instant aDeadline);
 
   /** Records a health check of the balancer and the readiness it reported. */
-  void OnAsked(bool aToldReady, Instant aNow);
+  void OnAsked(bool aReportedReady, Instant aNow);
 
   /** Returns whether new connections are still accepted. */
   bool TakesConnections(Instant aNow) const;
@@ -28,12 +28,12 @@
 private:
   bool begun_ = false;
   /** Number of "not ready" answers since the stop began. */
-  int told_ = 0;
-  Instant askedAt_;
+  int notReadyAnswers_ = 0;
+  Instant lastHealthCheck_;
   /** Earliest time at which new connections may be refused. */
-  Instant leastUntil_;
+  Instant minEnd_;
   /** Time after which new connections are refused in any case. */
-  Instant mostUntil_;
+  Instant maxEnd_;
 };
 
 }
--- a/Source/Process/TopCommand.cxx
+++ b/Source/Process/TopCommand.cxx
@@ -36,8 +36,7 @@
     return ExitCode::Other;
   }
   std::cout << (aClear ? kClearScreen : "")
-            << MetricsPicture(std::get<MetricsSnapshot>(snapshot))
-            << std::flush;
+            << FormatMetrics(std::get<MetricsSnapshot>(snapshot)) << std::flush;
   return ExitCode::Done;
 }
 
--- a/Tests/Unit/CommandTableTest.cxx
+++ b/Tests/Unit/CommandTableTest.cxx
@@ -51,7 +51,7 @@
   }
 }
 
-Test(CommandTable, AWrongCommandLineIsAUsageError, .init = cr_redirect_stderr)
+Test(CommandTable, InvalidCommandLineIsAUsageError, .init = cr_redirect_stderr)
 {
   cr_assert(RunWords({}) == ExitCode::Usage);
   cr_assert(RunWords({ "frobnicate" }) == ExitCode::Usage);
@@ -91,7 +91,7 @@
 
 // A mistyped selector can match forty jobs instead of one. Without a terminal
 // for a confirmation and without --yes, the command must not act.
-Test(Confirmation, SeveralThingsNeedAYes)
+Test(Confirmation, SeveralMatchesRequireConfirmation)
 {
   const auto yes = [] { return true; };
   const auto no = [] { return false; };
@@ -106,7 +106,7 @@
 
 // A word that contains a placeholder of the library's error message made the
 // command hang, as a line of a settings file did.
-Test(CommandTable, AWordLikeAPlaceholderIsRefused, .timeout = 20)
+Test(CommandTable, WordWithAPlaceholderIsRejected, .timeout = 20)
 {
   cr_redirect_stderr();
   cr_assert(RunWords({ "version", "--%canonical_option%" }) == ExitCode::Usage);
--- a/Tests/Unit/LogOutputTest.cxx
+++ b/Tests/Unit/LogOutputTest.cxx
@@ -37,7 +37,7 @@
 // If the collector that reads standard output hangs, the pipe fills, and a
 // blocking write hung the only thread of a process that holds leases. A
 // blocking write would also hang this test.
-Test(LogOutput, ReaderThatStoppedBlocksNothing, .timeout = 20)
+Test(LogOutput, StoppedReaderDoesNotBlock, .timeout = 20)
 {
   PipeBench pipe;
   LogOutput output(pipe.ends_[1]);
@@ -50,7 +50,7 @@
 
 // Once the reader continues, the number of dropped lines is logged before the
 // next line, so that the gap is not mistaken for a period without events.
-Test(LogOutput, MissingLinesAreSaid, .timeout = 20)
+Test(LogOutput, DroppedLinesAreReported, .timeout = 20)
 {
   PipeBench pipe;
   LogOutput output(pipe.ends_[1]);
--- a/Tests/Unit/LogTest.cxx
+++ b/Tests/Unit/LogTest.cxx
@@ -21,7 +21,7 @@
 
 // A side that flaps a thousand times per second must not fill the disk of the
 // log collector, and the log must still report the number of events.
-Test(LogCollapse, AFloodBecomesACount)
+Test(LogCollapse, RepeatedLinesAreCounted)
 {
   LogCollapse collapse(kLimits);
   int written = 0;
@@ -37,7 +37,7 @@
   cr_assert(collapse.Admit("side-changed", At(2000)));
 }
 
-Test(LogCollapse, AFloodDoesNotHideAnotherCause)
+Test(LogCollapse, RepeatedLinesDoNotHideAnotherCause)
 {
   LogCollapse collapse(kLimits);
   for (int line = 0; line < 100; ++line) {
@@ -59,7 +59,7 @@
 }
 
 // An external name that contains a newline must not forge a log line.
-Test(LogLine, AValueCannotBeginALineOfItsOwn)
+Test(LogLine, ValueCannotForgeALine)
 {
   const LogHead head{ "2026-01-01T00:00:00.000Z", "entry1", "info", "changed" };
   const std::array<LogField, 1> fields{ { { "side", "s1\nstopped \"x\"" } } };
--- a/Tests/Unit/MetricsTest.cxx
+++ b/Tests/Unit/MetricsTest.cxx
@@ -27,7 +27,7 @@
 
 // When the last 1.5 % of the calls are slow, all in a row, the p99 estimate of
 // Boost.Accumulators is too high by a factor of six.
-Test(Histogram, TheTailOfANoisyWaveIsRight)
+Test(Histogram, TailQuantileOfSlowBurstIsAccurate)
 {
   constexpr int kCalls = 20000;
   constexpr int kSlow = 300;
@@ -128,7 +128,7 @@
 // A collector requests the page every few seconds. With the target of 210
 // tenants, a page that grows with their number would exceed the node's whole
 // traffic allowance.
-Test(MetricsPage, WithoutAWordTenantsAreAddedUp)
+Test(MetricsPage, DefaultPageSumsTenants)
 {
   Metrics metrics;
   for (const char* tenant : { "a", "b", "c" }) {
@@ -140,7 +140,7 @@
   cr_assert(page.find("tenant=") == std::string::npos);
   cr_assert(page.find("class=\"urgent\",le=\"+Inf\"} 3\n") !=
             std::string::npos);
-  const MetricsSnapshot sum = AddUpTenants(snapshot);
+  const MetricsSnapshot sum = SumTenants(snapshot);
   cr_assert(sum.series_.size() == 2 && sum.series_[0].ran_ == 3);
   cr_assert(sum.series_[0].latency_.buckets_.back().cumulative_ == 3);
   cr_assert(MetricsText(snapshot, DetailOf("tenant")).find("tenant=\"b\"") !=
--- a/Tests/Unit/SettingsFileTest.cxx
+++ b/Tests/Unit/SettingsFileTest.cxx
@@ -60,7 +60,7 @@
 
 }
 
-Test(SettingsFile, ARightFileIsTakenWithItsDefaults)
+Test(SettingsFile, ValidFileIsLoadedWithDefaults)
 {
   const auto parsed =
     SettingsFile::Parse("side.ini", kSideFile, SideSettings::Specs());
@@ -93,7 +93,7 @@
 // message, the message grows without end: the process neither starts nor fails,
 // and SIGTERM does not end it. Found by the fuzz target "settings"; without the
 // guard this test does not end.
-Test(SettingsFile, ALineLikeAPlaceholderIsRefused, .timeout = 20)
+Test(SettingsFile, LineWithAPlaceholderIsRejected, .timeout = 20)
 {
   cr_assert(
     FaultOf("[side]\n%invalid_line%efix%refix%\n").starts_with("side.ini:2: "));
--- a/Tests/Unit/StopNoticeTest.cxx
+++ b/Tests/Unit/StopNoticeTest.cxx
@@ -13,7 +13,7 @@
 
 // The balancer sends a health check each second, at any offset to the stop. The
 // entry accepts connections until its second "not ready" answer.
-Test(StopNotice, CallersAreTakenUntilTheBalancerWasToldTwice)
+Test(StopNotice, ConnectionsAreAcceptedUntilSecondNotReady)
 {
   for (int phase = 0; phase < 1000; phase += 50) {
     StopNotice notice;
@@ -33,7 +33,7 @@
 
 // Health checks may be late on a busy machine. The entry waits for the second
 // one after the stop signal, for up to five seconds.
-Test(StopNotice, LateQuestionsAreWaitedFor)
+Test(StopNotice, LateHealthChecksAreAwaited)
 {
   StopNotice notice;
   notice.OnAsked(true, kStart - Millis(100));
@@ -47,7 +47,7 @@
 
 // A balancer that is gone or was never installed must not delay a stop, and a
 // stop must end at its bound.
-Test(StopNotice, NobodyIsWaitedForWithoutEnd)
+Test(StopNotice, WaitForTheBalancerIsBounded)
 {
   StopNotice gone;
   gone.OnAsked(true, kStart - Millis(100));
