--- a/Source/Process/MetricsPage.h
+++ b/Source/Process/MetricsPage.h
@@ -8,7 +8,7 @@
 
 namespace cactusrail {
 
-/** The content type of MetricsText(). */
+/** Content type of the output of MetricsText(). */
 constexpr const char* kMetricsContentType = "text/plain; version=0.0.4";
 
 /** Grouping of the requests on a metrics page. */
--- a/Source/Process/RoleOfSettings.cxx
+++ b/Source/Process/RoleOfSettings.cxx
@@ -45,10 +45,10 @@
   const bool entry = HasSection(std::get<std::string>(text), "entry");
   const bool side = HasSection(std::get<std::string>(text), "side");
   if (entry == side) {
-    return NotRun(
-      FailureKind::BadInput,
-      aPath + ": the role can't be determined; expected either an [entry] or a "
-              "[side] section.");
+    return NotRun(FailureKind::BadInput,
+                  aPath +
+                    ": the role is not known; expected either an [entry] or a "
+                    "[side] section.");
   }
   return entry ? CheckRole<EntrySettings>(aPath, "entry")
                : CheckRole<SideSettings>(aPath, "side");
--- a/Source/Process/StopNotice.cxx
+++ b/Source/Process/StopNotice.cxx
@@ -13,8 +13,9 @@
  * flight when the second one was answered. */
 constexpr Millis kMinNotice{ 2300 };
 
-/** A balancer whose last health check is older than this is not waited for,
- * because its interval is too long or it no longer sends health checks. */
+/** Maximum duration of the notice. A balancer whose last health check is older
+ * than this is not waited for either: its interval is too long, or it no longer
+ * sends health checks. */
 constexpr Millis kMaxNotice{ 5000 };
 
 }
--- a/Source/Process/StopNotice.h
+++ b/Source/Process/StopNotice.h
@@ -9,9 +9,9 @@
  * load balancer's health checks have reported "not ready". Performs no I/O.
  * Owned by the entry's process.
  *
- * A balancer asks whether the entry is ready, each second as a rule, and sends
- * it callers until it has heard twice that it is not. No fixed time is right,
- * as either process may be held up, so the answers given are counted.
+ * A balancer usually sends a health check each second and routes callers to the
+ * entry until it has received two "not ready" answers. A fixed delay would not
+ * be reliable, since either process may be delayed, so the answers are counted.
  */
 class StopNotice
 {
--- a/Tests/Unit/LogOutputTest.cxx
+++ b/Tests/Unit/LogOutputTest.cxx
@@ -34,7 +34,7 @@
 
 }
 
-// If the collector that reads standard output hangs, the pipe fills, and a
+// When the collector that reads standard output hung, the pipe filled, and a
 // blocking write hung the only thread of a process that holds leases. A
 // blocking write would also hang this test.
 Test(LogOutput, StoppedReaderDoesNotBlock, .timeout = 20)
