--- a/Source/Process/Confirmation.cxx
+++ b/Source/Process/Confirmation.cxx
@@ -33,22 +33,22 @@
 ChoiceDecision
 ConfirmChoice(const CommandLine& aLine,
               std::string_view aVerb,
-              std::span<const std::string> aChosen)
+              std::span<const std::string> aMatches)
 {
   const bool dryRun = aLine.Given("dry-run");
   const bool yes = aLine.Given("yes");
   const bool terminal = IsTerminal(Stream::Input) && IsTerminal(Stream::Error);
-  if (dryRun || (aChosen.size() > 1 && !yes && terminal)) {
-    for (const std::string& name : aChosen) {
+  if (dryRun || (aMatches.size() > 1 && !yes && terminal)) {
+    for (const std::string& name : aMatches) {
       (dryRun ? std::cout : std::cerr) << name << '\n';
     }
   }
   const ChoiceDecision decision =
-    DecideChoice(aChosen.size(), dryRun, yes, terminal, [&] {
-      return AskOnTerminal(aVerb, aChosen.size());
+    DecideChoice(aMatches.size(), dryRun, yes, terminal, [&] {
+      return AskOnTerminal(aVerb, aMatches.size());
     });
   if (decision == ChoiceDecision::Refuse) {
-    std::cerr << "Nothing was done: the selector matched " << aChosen.size()
+    std::cerr << "Nothing was done: the selector matched " << aMatches.size()
               << "; add --yes to " << aVerb << " them all.\n";
   }
   return decision;
--- a/Source/Process/Confirmation.h
+++ b/Source/Process/Confirmation.h
@@ -26,23 +26,23 @@
 
 /**
  * Decides whether a command acts on the objects that its selector matched.
- * Calls aAnswer only if a terminal is available and a confirmation is needed.
+ * Calls aConfirm only if a terminal is available and a confirmation is needed.
  */
 template<typename Ask>
 ChoiceDecision
-DecideChoice(std::size_t aChosen,
+DecideChoice(std::size_t aMatches,
              bool aDryRun,
              bool aYes,
              bool aTerminal,
-             const Ask& aAnswer)
+             const Ask& aConfirm)
 {
   if (aDryRun) {
     return ChoiceDecision::OnlyShow;
   }
-  if (aChosen <= 1 || aYes) {
+  if (aMatches <= 1 || aYes) {
     return ChoiceDecision::Act;
   }
-  return aTerminal && aAnswer() ? ChoiceDecision::Act : ChoiceDecision::Refuse;
+  return aTerminal && aConfirm() ? ChoiceDecision::Act : ChoiceDecision::Refuse;
 }
 
 /**
@@ -53,6 +53,6 @@
 ChoiceDecision
 ConfirmChoice(const CommandLine& aLine,
               std::string_view aVerb,
-              std::span<const std::string> aChosen);
+              std::span<const std::string> aMatches);
 
 }
--- a/Source/Process/Histogram.cxx
+++ b/Source/Process/Histogram.cxx
@@ -59,11 +59,11 @@
   }
   const double wanted = aShare * static_cast<double>(Count());
   const Axis& axis = bins_.axis();
-  double passed = 0.0;
+  double cumulative = 0.0;
   int bin = 0;
   for (; bin < kBins - 1; ++bin) {
-    passed += BinCount(bin);
-    if (passed >= wanted && passed > 0.0) {
+    cumulative += BinCount(bin);
+    if (cumulative >= wanted && cumulative > 0.0) {
       break;
     }
   }
@@ -88,12 +88,12 @@
   summary.p99_ = Quantile(kP99);
   summary.p999_ = Quantile(kP999);
   const Axis& axis = bins_.axis();
-  double passed = 0.0;
+  double cumulative = 0.0;
   for (int bin = 0; bin < kBins; ++bin) {
-    passed += BinCount(bin);
+    cumulative += BinCount(bin);
     if ((bin + 1) % static_cast<int>(aBinsPerBucket) == 0) {
       summary.buckets_.push_back(
-        { axis.value(bin + 1), static_cast<std::uint64_t>(passed) });
+        { axis.value(bin + 1), static_cast<std::uint64_t>(cumulative) });
     }
   }
   return summary;
--- a/Source/Process/HistogramPicture.cxx
+++ b/Source/Process/HistogramPicture.cxx
@@ -17,9 +17,9 @@
 std::string
 MillisText(double aSeconds)
 {
-  constexpr double kMillisASecond = 1000.0;
+  constexpr double kMillisPerSecond = 1000.0;
   std::ostringstream text;
-  text << std::fixed << std::setprecision(2) << aSeconds * kMillisASecond;
+  text << std::fixed << std::setprecision(2) << aSeconds * kMillisPerSecond;
   return text.str();
 }
 
@@ -46,10 +46,10 @@
 HistogramBars(const HistogramSummary& aSummary)
 {
   std::vector<std::uint64_t> counts;
-  std::uint64_t passed = 0;
+  std::uint64_t cumulative = 0;
   for (const HistogramBucket& bucket : aSummary.buckets_) {
-    counts.push_back(bucket.cumulative_ - passed);
-    passed = bucket.cumulative_;
+    counts.push_back(bucket.cumulative_ - cumulative);
+    cumulative = bucket.cumulative_;
   }
   const std::uint64_t highest =
     counts.empty() ? 0 : *std::max_element(counts.begin(), counts.end());
--- a/Source/Process/Log.cxx
+++ b/Source/Process/Log.cxx
@@ -59,7 +59,7 @@
 };
 
 ProcessLog&
-TheLog()
+GetProcessLog()
 {
   static ProcessLog log;
   return log;
@@ -73,12 +73,12 @@
   const std::string time =
     QDateTime::currentDateTimeUtc().toString(Qt::ISODateWithMs).toStdString();
   const LogHead head{ time,
-                      TheLog().name_,
+                      GetProcessLog().name_,
                       aSeverity == Severity::warning ? "warning" : "info",
                       aEvent };
   BOOST_LOG_SEV(boost::log::trivial::logger::get(), aSeverity)
-    << (TheLog().options_.json_ ? JsonLogLine(head, aFields)
-                                : PlainLogLine(head, aFields));
+    << (GetProcessLog().options_.json_ ? JsonLogLine(head, aFields)
+                                       : PlainLogLine(head, aFields));
 }
 
 void
@@ -87,7 +87,7 @@
                      std::span<const LogField> aFields)
 {
   FlushCollapsedLog();
-  ProcessLog& log = TheLog();
+  ProcessLog& log = GetProcessLog();
   bool admitted = false;
   {
     const std::lock_guard lock(log.mutex_);
@@ -105,11 +105,11 @@
 void
 StartLog(std::string_view aProcessName, const LogOptions& aOptions)
 {
-  TheLog().name_ = aProcessName;
-  TheLog().options_ = aOptions;
+  GetProcessLog().name_ = aProcessName;
+  GetProcessLog().options_ = aOptions;
   LogCollapse::Limits limits;
   limits.linesPerWindow_ = aOptions.linesPerWindow_;
-  TheLog().collapse_ = LogCollapse(limits);
+  GetProcessLog().collapse_ = LogCollapse(limits);
   using Sink = sinks::synchronous_sink<OutputBackend>;
   const auto sink = boost::make_shared<Sink>(boost::make_shared<OutputBackend>(
     aOptions.standardOutput_ ? STDOUT_FILENO : STDERR_FILENO));
@@ -137,7 +137,7 @@
 void
 FlushCollapsedLog()
 {
-  ProcessLog& log = TheLog();
+  ProcessLog& log = GetProcessLog();
   std::vector<CollapsedLines> ended;
   {
     const std::lock_guard lock(log.mutex_);
--- a/Source/Process/Metrics.cxx
+++ b/Source/Process/Metrics.cxx
@@ -168,9 +168,10 @@
 Metrics::Shard&
 Metrics::ShardOf(std::string_view aTenant, std::string_view aClass) const
 {
-  constexpr std::size_t kMix = 31;
-  const std::size_t hash = std::hash<std::string_view>{}(aTenant)*kMix +
-                           std::hash<std::string_view>{}(aClass);
+  constexpr std::size_t kHashMultiplier = 31;
+  const std::size_t hash =
+    std::hash<std::string_view>{}(aTenant)*kHashMultiplier +
+    std::hash<std::string_view>{}(aClass);
   return *shards_.at(hash % kShards);
 }
 
--- a/Source/Process/OperatorGuard.cxx
+++ b/Source/Process/OperatorGuard.cxx
@@ -11,12 +11,12 @@
 
 namespace {
 
-constexpr std::int64_t kMicrosASecond = 1000000;
+constexpr std::int64_t kMicrosPerSecond = 1000000;
 constexpr int kUnauthorized = 401;
 constexpr std::string_view kBearer = "Bearer ";
 
 bool
-IsOpenPage(const HttpExchange& aExchange)
+IsPublicPage(const HttpExchange& aExchange)
 {
   return aExchange.Method() == "GET" &&
          (aExchange.Path() == "/healthz" || aExchange.Path() == "/readyz");
@@ -57,14 +57,14 @@
 OperatorGuard::Passes(const HttpExchange& aExchange)
 {
   const std::shared_ptr<const KeyRing> ring = KeyHolder::OfProcess().Current();
-  if (ring->Empty() || IsOpenPage(aExchange) || IsCollector(aExchange)) {
+  if (ring->Empty() || IsPublicPage(aExchange) || IsCollector(aExchange)) {
     return true;
   }
   const Result<bool> checked = checker_.Check(
     { aExchange.Method(), address_, aExchange.Target(), aExchange.Body() },
     aExchange.Header("Authorization"),
     *ring,
-    ReadWallClock() / kMicrosASecond);
+    ReadWallClock() / kMicrosPerSecond);
   const auto* failure = std::get_if<Failure>(&checked);
   if (failure == nullptr) {
     return true;
--- a/Source/Process/SettingSpec.cxx
+++ b/Source/Process/SettingSpec.cxx
@@ -64,11 +64,11 @@
 std::string
 FindSha256Fault(const std::string& aValue)
 {
-  const bool right =
+  const bool isValid =
     aValue.empty() ||
     (aValue.size() == kSha256HexLength &&
      aValue.find_first_not_of("0123456789abcdef") == std::string::npos);
-  return right ? std::string() : "expected a SHA-256 as 64 small hex digits.";
+  return isValid ? std::string() : "expected a SHA-256 as 64 small hex digits.";
 }
 
 }
--- a/Tests/Unit/LogOutputTest.cxx
+++ b/Tests/Unit/LogOutputTest.cxx
@@ -63,9 +63,9 @@
   cr_assert(output.Write("next"));
   cr_assert_eq(output.Dropped(), 0U);
   const std::string text = pipe.Read();
-  const std::string said = "{\"event\":\"log-lines-dropped\",\"lines\":\"" +
-                           std::to_string(dropped) + "\"}\nnext\n";
-  cr_assert(text.ends_with(said));
+  const std::string expected = "{\"event\":\"log-lines-dropped\",\"lines\":\"" +
+                               std::to_string(dropped) + "\"}\nnext\n";
+  cr_assert(text.ends_with(expected));
 }
 
 // A line that a pipe might accept only in part is dropped and counted.
--- a/Tests/Unit/MetricsTest.cxx
+++ b/Tests/Unit/MetricsTest.cxx
@@ -112,17 +112,17 @@
   metrics.Count(Counter::TableFailures, 3);
   const std::string page =
     MetricsText(metrics.Snapshot(), MetricsDetail::Tenant);
-  const std::string who = "{role=\"entry\",process=\"e\\\"1\"";
+  const std::string labels = "{role=\"entry\",process=\"e\\\"1\"";
   const auto has = [&page](const std::string& aLine) {
     return page.find(aLine) != std::string::npos;
   };
   cr_assert(has("# TYPE cactusrail_request_duration_seconds histogram\n"));
-  cr_assert(has("cactusrail_requests_total" + who +
+  cr_assert(has("cactusrail_requests_total" + labels +
                 ",tenant=\"clerk\",class=\"urgent\",verdict=\"did_not_run\"} "
                 "1\n"));
-  cr_assert(has("cactusrail_request_duration_seconds_bucket" + who +
+  cr_assert(has("cactusrail_request_duration_seconds_bucket" + labels +
                 ",tenant=\"clerk\",class=\"urgent\",le=\"+Inf\"} 1\n"));
-  cr_assert(has("cactusrail_table_failures_total" + who + "} 3\n"));
+  cr_assert(has("cactusrail_table_failures_total" + labels + "} 3\n"));
 }
 
 // A collector requests the page every few seconds. With the target of 210
--- a/Tests/Unit/StopNoticeTest.cxx
+++ b/Tests/Unit/StopNoticeTest.cxx
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Instant kStart{ Micros(1000000000) };
-constexpr Instant kBound = kStart + Millis(30000);
+constexpr Instant kDeadline = kStart + Millis(30000);
 
 }
 
@@ -18,13 +18,14 @@
   for (int phase = 0; phase < 1000; phase += 50) {
     StopNotice notice;
     notice.OnAsked(true, kStart - Millis(1000 - phase));
-    notice.Begin(kStart, kBound);
-    int told = 0;
+    notice.Begin(kStart, kDeadline);
+    int notReadyAnswers = 0;
     for (int now = 0; now < 10000; now += 10) {
       if (now % 1000 == phase) {
-        cr_assert(told >= 2 || notice.TakesConnections(kStart + Millis(now)));
+        cr_assert(notReadyAnswers >= 2 ||
+                  notice.TakesConnections(kStart + Millis(now)));
         notice.OnAsked(false, kStart + Millis(now));
-        ++told;
+        ++notReadyAnswers;
       }
     }
     cr_assert_not(notice.TakesConnections(kStart + Millis(10000)));
@@ -37,7 +38,7 @@
 {
   StopNotice notice;
   notice.OnAsked(true, kStart - Millis(100));
-  notice.Begin(kStart, kBound);
+  notice.Begin(kStart, kDeadline);
   cr_assert(notice.TakesConnections(kStart + Millis(2900)));
   notice.OnAsked(false, kStart + Millis(2900));
   cr_assert(notice.TakesConnections(kStart + Millis(4000)));
@@ -51,10 +52,10 @@
 {
   StopNotice gone;
   gone.OnAsked(true, kStart - Millis(100));
-  gone.Begin(kStart, kBound);
+  gone.Begin(kStart, kDeadline);
   cr_assert_not(gone.TakesConnections(kStart + Millis(5000)));
   StopNotice none;
-  none.Begin(kStart, kBound);
+  none.Begin(kStart, kDeadline);
   cr_assert(none.TakesConnections(kStart + Millis(2000)));
   cr_assert_not(none.TakesConnections(kStart + Millis(2500)));
   StopNotice bounded;
