--- a/Source/Process/CommandTable.cxx
+++ b/Source/Process/CommandTable.cxx
@@ -31,7 +31,7 @@
   return line;
 }
 
-/** "create tenant" begins with the words "create", "tenant". */
+/** Splits text such as "create tenant" into its words. */
 std::vector<std::string>
 SplitAtSpaces(const std::string& aText)
 {
@@ -59,7 +59,7 @@
 Command::AllOptions() const
 {
   std::vector<CommandOption> all = options_;
-  if (asksEntry_) {
+  if (needsEntry_) {
     all.insert(all.end(), EntryOptions().begin(), EntryOptions().end());
   }
   all.push_back({ "help", "", "print this help" });
--- a/Source/Process/Confirmation.h
+++ b/Source/Process/Confirmation.h
@@ -9,48 +9,50 @@
 
 namespace cactusrail {
 
-/** The options --yes and --dry-run of commands that choose by a selector. */
+/** Returns the options --yes and --dry-run of commands with a selector. */
 std::span<const CommandOption>
 ChoiceOptions();
 
-/** What an operator's choice of things to act upon may lead to. */
+/** Whether a command acts on the objects that its selector matched. */
 enum class ChoiceDecision : std::uint8_t
 {
   Act,
-  /** --dry-run: the choice was printed, nothing is done. */
+  /** --dry-run: print the matched objects and do nothing. */
   OnlyShow,
-  /** More than one thing, and neither --yes nor a yes on the terminal. */
+  /** Several objects matched, without --yes or a confirmation on the terminal.
+   */
   Refuse,
 };
 
 /**
- * Decides whether a command acts on what its selector chose. Pure; aAnswer is
- * asked only if a terminal is there to ask.
+ * Decides whether a command acts on the objects that its selector matched.
+ * Calls aConfirm only if a terminal is available and a confirmation is needed.
  */
 template<typename Ask>
 ChoiceDecision
-DecideChoice(std::size_t aChosen,
+DecideChoice(std::size_t aMatches,
              bool aDryRun,
              bool aYes,
              bool aTerminal,
-             const Ask& aAnswer)
+             const Ask& aConfirm)
 {
   if (aDryRun) {
     return ChoiceDecision::OnlyShow;
   }
-  if (aChosen <= 1 || aYes) {
+  if (aMatches <= 1 || aYes) {
     return ChoiceDecision::Act;
   }
-  return aTerminal && aAnswer() ? ChoiceDecision::Act : ChoiceDecision::Refuse;
+  return aTerminal && aConfirm() ? ChoiceDecision::Act : ChoiceDecision::Refuse;
 }
 
 /**
- * Shows what was chosen where that is wanted, asks on a terminal, and says on
- * stderr why nothing is done if it is refused. aVerb is "drain".
+ * Prints the matched objects if needed, asks for confirmation on a terminal,
+ * and prints the reason of a refusal to stderr. aVerb is a verb such as
+ * "drain".
  */
 ChoiceDecision
 ConfirmChoice(const CommandLine& aLine,
               std::string_view aVerb,
-              std::span<const std::string> aChosen);
+              std::span<const std::string> aMatches);
 
 }
--- a/Source/Process/Log.cxx
+++ b/Source/Process/Log.cxx
@@ -26,8 +26,8 @@
 namespace sinks = boost::log::sinks;
 using Severity = boost::log::trivial::severity_level;
 
-/** The library's end of the log: lines go out, or are counted; see LogOutput.
- */
+/** Boost.Log sink backend that passes lines to LogOutput, which writes or drops
+ * them. */
 class OutputBackend
   : public sinks::basic_formatted_sink_backend<char,
                                                sinks::synchronized_feeding>
@@ -38,7 +38,8 @@
   {
   }
 
-  // NOLINTNEXTLINE(readability-identifier-naming): the library names it so.
+  // NOLINTNEXTLINE(readability-identifier-naming): name required by the
+  // library.
   void consume(const boost::log::record_view&, const string_type& aLine)
   {
     output_.Write(aLine);
@@ -48,7 +49,7 @@
   LogOutput output_;
 };
 
-/** The log of the process: its name, its form and what it collapses. */
+/** State of the process's log: name, format and rate limiter. */
 struct ProcessLog
 {
   std::string name_;
@@ -58,7 +59,7 @@
 };
 
 ProcessLog&
-TheLog()
+GetProcessLog()
 {
   static ProcessLog log;
   return log;
@@ -72,12 +73,12 @@
   const std::string time =
     QDateTime::currentDateTimeUtc().toString(Qt::ISODateWithMs).toStdString();
   const LogHead head{ time,
-                      TheLog().name_,
+                      GetProcessLog().name_,
                       aSeverity == Severity::warning ? "warning" : "info",
                       aEvent };
   BOOST_LOG_SEV(boost::log::trivial::logger::get(), aSeverity)
-    << (TheLog().options_.json_ ? JsonLogLine(head, aFields)
-                                : PlainLogLine(head, aFields));
+    << (GetProcessLog().options_.json_ ? JsonLogLine(head, aFields)
+                                       : PlainLogLine(head, aFields));
 }
 
 void
@@ -86,7 +87,7 @@
                      std::span<const LogField> aFields)
 {
   FlushCollapsedLog();
-  ProcessLog& log = TheLog();
+  ProcessLog& log = GetProcessLog();
   bool admitted = false;
   {
     const std::lock_guard lock(log.mutex_);
@@ -104,11 +105,11 @@
 void
 StartLog(std::string_view aProcessName, const LogOptions& aOptions)
 {
-  TheLog().name_ = aProcessName;
-  TheLog().options_ = aOptions;
+  GetProcessLog().name_ = aProcessName;
+  GetProcessLog().options_ = aOptions;
   LogCollapse::Limits limits;
-  limits.linesAWindow_ = aOptions.linesAWindow_;
-  TheLog().collapse_ = LogCollapse(limits);
+  limits.linesPerWindow_ = aOptions.linesPerWindow_;
+  GetProcessLog().collapse_ = LogCollapse(limits);
   using Sink = sinks::synchronous_sink<OutputBackend>;
   const auto sink = boost::make_shared<Sink>(boost::make_shared<OutputBackend>(
     aOptions.standardOutput_ ? STDOUT_FILENO : STDERR_FILENO));
@@ -136,7 +137,7 @@
 void
 FlushCollapsedLog()
 {
-  ProcessLog& log = TheLog();
+  ProcessLog& log = GetProcessLog();
   std::vector<CollapsedLines> ended;
   {
     const std::lock_guard lock(log.mutex_);
--- a/Source/Process/Metrics.cxx
+++ b/Source/Process/Metrics.cxx
@@ -8,10 +8,10 @@
 
 namespace {
 
-/** Not a name that a tenant can have. */
-constexpr const char* kOther = "(other)";
-/** Two and a half buckets a decade on the pages. */
-constexpr std::size_t kBinsABucket = 20;
+/** Not a valid tenant name. */
+constexpr const char* kOverflowTenant = "(other)";
+/** Yields 2.5 buckets per decade on the metrics pages. */
+constexpr std::size_t kBinsPerBucket = 20;
 
 constexpr std::array<MetricName, kCounterCount> kCounterNames{ {
   { "retries", "attempts after the first one of a request" },
@@ -50,7 +50,7 @@
 
 using SeriesKey = std::pair<std::string, std::string>;
 
-/** Compares keys without making strings of the views that are looked up. */
+/** Compares keys without converting string views to strings on lookup. */
 struct SeriesLess
 {
   using is_transparent = void; // NOLINT(readability-identifier-naming)
@@ -71,9 +71,9 @@
   SeriesSummary summary;
   summary.tenant_ = aKey.first;
   summary.class_ = aKey.second;
-  summary.latency_ = aSeries.latency_.Summarize(kBinsABucket);
-  summary.queued_ = aSeries.queued_.Summarize(kBinsABucket);
-  summary.served_ = aSeries.served_.Summarize(kBinsABucket);
+  summary.latency_ = aSeries.latency_.Summarize(kBinsPerBucket);
+  summary.queued_ = aSeries.queued_.Summarize(kBinsPerBucket);
+  summary.served_ = aSeries.served_.Summarize(kBinsPerBucket);
   summary.didNotRun_ =
     aSeries.verdicts_.at(static_cast<std::size_t>(Verdict::DidNotRun));
   summary.ran_ = aSeries.verdicts_.at(static_cast<std::size_t>(Verdict::Ran));
@@ -96,15 +96,15 @@
   return kGaugeNames.at(static_cast<std::size_t>(aGauge));
 }
 
-/** Some of the series, under one lock. Series are never removed. */
+/** Part of the series, under one lock. Series are never removed. */
 class Metrics::Shard
 {
 public:
-  /** Changes a series under the lock; false if there is no room for it. */
+  /** Changes a series under the lock; returns false if the shard is full. */
   template<typename Change>
-  bool With(std::string_view aTenant,
-            std::string_view aClass,
-            const Change& aChange)
+  bool ChangeSeries(std::string_view aTenant,
+                    std::string_view aClass,
+                    const Change& aChange)
   {
     const std::lock_guard lock(mutex_);
     const auto key = std::make_pair(aTenant, aClass);
@@ -168,23 +168,24 @@
 Metrics::Shard&
 Metrics::ShardOf(std::string_view aTenant, std::string_view aClass) const
 {
-  constexpr std::size_t kMix = 31;
-  const std::size_t hash = std::hash<std::string_view>{}(aTenant)*kMix +
-                           std::hash<std::string_view>{}(aClass);
+  constexpr std::size_t kHashMultiplier = 31;
+  const std::size_t hash =
+    std::hash<std::string_view>{}(aTenant)*kHashMultiplier +
+    std::hash<std::string_view>{}(aClass);
   return *shards_.at(hash % kShards);
 }
 
 template<typename Change>
 void
-Metrics::With(std::string_view aTenant,
-              std::string_view aClass,
-              const Change& aChange)
+Metrics::ChangeSeries(std::string_view aTenant,
+                      std::string_view aClass,
+                      const Change& aChange)
 {
-  if (ShardOf(aTenant, aClass).With(aTenant, aClass, aChange)) {
+  if (ShardOf(aTenant, aClass).ChangeSeries(aTenant, aClass, aChange)) {
     return;
   }
   Count(Counter::SeriesOverflows);
-  overflow_->With(kOther, kOther, aChange);
+  overflow_->ChangeSeries(kOverflowTenant, kOverflowTenant, aChange);
 }
 
 void
@@ -193,7 +194,7 @@
                       Verdict aVerdict,
                       Micros aLatency)
 {
-  With(aTenant, aClass, [&](Series& aSeries) {
+  ChangeSeries(aTenant, aClass, [&](Series& aSeries) {
     aSeries.latency_.Add(aLatency);
     ++aSeries.verdicts_.at(static_cast<std::size_t>(aVerdict));
   });
@@ -205,17 +206,17 @@
                       Micros aQueued,
                       Micros aServed)
 {
-  With(aTenant, aClass, [&](Series& aSeries) {
+  ChangeSeries(aTenant, aClass, [&](Series& aSeries) {
     aSeries.queued_.Add(aQueued);
     aSeries.served_.Add(aServed);
   });
 }
 
 void
-Metrics::Count(Counter aCounter, std::uint64_t aHowMany)
+Metrics::Count(Counter aCounter, std::uint64_t aIncrement)
 {
   counters_.at(static_cast<std::size_t>(aCounter))
-    .fetch_add(aHowMany, std::memory_order_relaxed);
+    .fetch_add(aIncrement, std::memory_order_relaxed);
 }
 
 void
--- a/Source/Process/OperatorRoutes.cxx
+++ b/Source/Process/OperatorRoutes.cxx
@@ -54,7 +54,8 @@
   aExchange.Answer(
     pathKnown
       ? OperatorError(405,
-                      "This page does not take " + aExchange.Method() + ".")
+                      "This page does not support the method " +
+                        aExchange.Method() + ".")
       : OperatorError(404, "There is no page " + aExchange.Path() + " here."));
 }
 
--- a/Source/Process/StopNotice.h
+++ b/Source/Process/StopNotice.h
@@ -5,34 +5,35 @@
 namespace cactusrail {
 
 /**
- * How long an entry that is being stopped still takes new connections: until
- * the balancer in front of it knows. Pure. Owned by the entry's process.
+ * Decides how long a stopping entry still accepts new connections: until the
+ * load balancer's health checks have reported "not ready". Performs no I/O.
+ * Owned by the entry's process.
  *
- * A balancer asks whether the entry is ready, each second as a rule, and sends
- * it callers until it has heard twice that it is not. No fixed time is right,
- * as either process may be held up, so the answers given are counted.
+ * A balancer usually sends a health check each second and routes callers to the
+ * entry until it has received two "not ready" answers. A fixed delay would not
+ * be reliable, since either process may be delayed, so the answers are counted.
  */
 class StopNotice
 {
 public:
-  /** The stop begins now; it must be over at aBound. */
-  void Begin(Instant aNow, Instant aBound);
+  /** Begins the stop, which must end by aDeadline. */
+  void Begin(Instant aNow, Instant aDeadline);
 
-  /** The balancer asked, and was told whether the entry is ready. */
-  void OnAsked(bool aToldReady, Instant aNow);
+  /** Records a health check of the balancer and the readiness it reported. */
+  void OnAsked(bool aReportedReady, Instant aNow);
 
-  /** Whether new connections are still taken. */
+  /** Returns whether new connections are still accepted. */
   bool TakesConnections(Instant aNow) const;
 
 private:
   bool begun_ = false;
-  /** Answers since then that said "not ready". */
-  int told_ = 0;
-  Instant askedAt_;
-  /** Callers are taken until then whatever the balancer was told. */
-  Instant leastUntil_;
-  /** Nothing is waited for beyond this. */
-  Instant mostUntil_;
+  /** Number of "not ready" answers since the stop began. */
+  int notReadyAnswers_ = 0;
+  Instant lastHealthCheck_;
+  /** Earliest time at which new connections may be refused. */
+  Instant minEnd_;
+  /** Time after which new connections are refused in any case. */
+  Instant maxEnd_;
 };
 
 }
--- a/Tests/Unit/CommandTableTest.cxx
+++ b/Tests/Unit/CommandTableTest.cxx
@@ -51,7 +51,7 @@
   }
 }
 
-Test(CommandTable, AWrongCommandLineIsAUsageError, .init = cr_redirect_stderr)
+Test(CommandTable, InvalidCommandLineIsAUsageError, .init = cr_redirect_stderr)
 {
   cr_assert(RunWords({}) == ExitCode::Usage);
   cr_assert(RunWords({ "frobnicate" }) == ExitCode::Usage);
@@ -63,7 +63,7 @@
   cr_assert(
     RunWords({ "explain", "a", "--entry", "127.0.0.1:1", "--output", "xml" }) ==
     ExitCode::Usage);
-  // A shortened option could mean another one in the next version.
+  // The meaning of an abbreviated option could change in the next version.
   cr_assert(RunWords({ "explain", "a", "--entr", "127.0.0.1:1" }) ==
             ExitCode::Usage);
   cr_assert(RunWords({ "config", "check", "/no/such/file" }) ==
@@ -89,9 +89,9 @@
   cr_assert(!Succeeded(std::get<CommandLine>(bare).Entries()));
 }
 
-// A selector with a slip hits forty jobs where the operator meant one. Without
-// a person to ask and without --yes, nothing may be done.
-Test(Confirmation, SeveralThingsNeedAYes)
+// A mistyped selector can match forty jobs instead of one. Without a terminal
+// for a confirmation and without --yes, the command must not act.
+Test(Confirmation, SeveralMatchesRequireConfirmation)
 {
   const auto yes = [] { return true; };
   const auto no = [] { return false; };
@@ -104,9 +104,9 @@
   cr_assert(DecideChoice(2, true, true, true, yes) == ChoiceDecision::OnlyShow);
 }
 
-// The same trap as in the settings: a word that is like a placeholder of the
-// library's error text made the command hang.
-Test(CommandTable, AWordLikeAPlaceholderIsRefused, .timeout = 20)
+// A word that contains a placeholder of the library's error message made the
+// command hang, as a line of a settings file did.
+Test(CommandTable, WordWithAPlaceholderIsRejected, .timeout = 20)
 {
   cr_redirect_stderr();
   cr_assert(RunWords({ "version", "--%canonical_option%" }) == ExitCode::Usage);
--- a/Tests/Unit/LogOutputTest.cxx
+++ b/Tests/Unit/LogOutputTest.cxx
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** A pipe whose reader takes lines when the test says so. */
+/** Pipe that is only read when the test calls for it. */
 struct PipeBench
 {
   PipeBench() { cr_assert_eq(::pipe(ends_.data()), 0); }
@@ -20,7 +20,7 @@
     ::close(ends_[1]);
   }
 
-  /** Takes what is there, up to a part of the pipe. */
+  /** Reads the available data, up to a part of the pipe's capacity. */
   std::string Read()
   {
     std::array<char, 65536> text{};
@@ -34,10 +34,10 @@
 
 }
 
-// The collector that reads our standard output hangs. The pipe fills, and the
-// next line must not wait for it: a write that blocks would hang this test, as
-// it hung the only thread of a process that holds leases.
-Test(LogOutput, ReaderThatStoppedBlocksNothing, .timeout = 20)
+// When the collector that reads standard output hung, the pipe filled, and a
+// blocking write hung the only thread of a process that holds leases. A
+// blocking write would also hang this test.
+Test(LogOutput, StoppedReaderDoesNotBlock, .timeout = 20)
 {
   PipeBench pipe;
   LogOutput output(pipe.ends_[1]);
@@ -48,9 +48,9 @@
   cr_assert_gt(output.Dropped(), 0U);
 }
 
-// Once the reader goes on, it is told how many lines are missing, before the
-// next line: an engineer must not take the gap for silence.
-Test(LogOutput, MissingLinesAreSaid, .timeout = 20)
+// Once the reader continues, the number of dropped lines is logged before the
+// next line, so that the gap is not mistaken for a period without events.
+Test(LogOutput, DroppedLinesAreReported, .timeout = 20)
 {
   PipeBench pipe;
   LogOutput output(pipe.ends_[1]);
@@ -63,12 +63,12 @@
   cr_assert(output.Write("next"));
   cr_assert_eq(output.Dropped(), 0U);
   const std::string text = pipe.Read();
-  const std::string said = "{\"event\":\"log-lines-dropped\",\"lines\":\"" +
-                           std::to_string(dropped) + "\"}\nnext\n";
-  cr_assert(text.ends_with(said));
+  const std::string expected = "{\"event\":\"log-lines-dropped\",\"lines\":\"" +
+                               std::to_string(dropped) + "\"}\nnext\n";
+  cr_assert(text.ends_with(expected));
 }
 
-// A line that a pipe might take in parts is dropped whole and counted.
+// A line that a pipe might accept only in part is dropped and counted.
 Test(LogOutput, LineTooLongForOneWriteIsDropped, .timeout = 20)
 {
   PipeBench pipe;
--- a/Tests/Unit/MetricsTest.cxx
+++ b/Tests/Unit/MetricsTest.cxx
@@ -25,9 +25,9 @@
 
 }
 
-// A noisy wave makes the last 1.5 % of the calls slow, all together. The
-// accumulators' own estimate of p99 came out six times too high for this.
-Test(Histogram, TheTailOfANoisyWaveIsRight)
+// When the last 1.5 % of the calls are slow, all in a row, the p99 estimate of
+// Boost.Accumulators is too high by a factor of six.
+Test(Histogram, TailQuantileOfSlowBurstIsAccurate)
 {
   constexpr int kCalls = 20000;
   constexpr int kSlow = 300;
@@ -53,8 +53,8 @@
   cr_assert(Histogram().Quantile(0.99) == 0.0);
 }
 
-// A caller, or a slip in a script that makes tenants, floods the process with
-// names. Memory must stay bounded, and what lost its own series is counted.
+// A caller or a faulty script may create very many tenant names. Memory must
+// stay bounded, and values without a series of their own are counted.
 Test(Metrics, ManyTenantsShareOneSeriesThatIsCounted)
 {
   constexpr std::uint64_t kTenants = 5000;
@@ -76,8 +76,8 @@
   cr_assert(total == kTenants);
 }
 
-// A collector reads the page while every lane records. No value may be lost or
-// counted twice.
+// A snapshot taken while all lanes record must not lose a value or count one
+// twice.
 Test(Metrics, SnapshotsWhileLanesRecordLoseNothing)
 {
   constexpr int kLanes = 4;
@@ -112,22 +112,23 @@
   metrics.Count(Counter::TableFailures, 3);
   const std::string page =
     MetricsText(metrics.Snapshot(), MetricsDetail::Tenant);
-  const std::string who = "{role=\"entry\",process=\"e\\\"1\"";
+  const std::string labels = "{role=\"entry\",process=\"e\\\"1\"";
   const auto has = [&page](const std::string& aLine) {
     return page.find(aLine) != std::string::npos;
   };
   cr_assert(has("# TYPE cactusrail_request_duration_seconds histogram\n"));
-  cr_assert(has("cactusrail_requests_total" + who +
+  cr_assert(has("cactusrail_requests_total" + labels +
                 ",tenant=\"clerk\",class=\"urgent\",verdict=\"did_not_run\"} "
                 "1\n"));
-  cr_assert(has("cactusrail_request_duration_seconds_bucket" + who +
+  cr_assert(has("cactusrail_request_duration_seconds_bucket" + labels +
                 ",tenant=\"clerk\",class=\"urgent\",le=\"+Inf\"} 1\n"));
-  cr_assert(has("cactusrail_table_failures_total" + who + "} 3\n"));
+  cr_assert(has("cactusrail_table_failures_total" + labels + "} 3\n"));
 }
 
-// A collector asks every few seconds at the target's 210 tenants. A page that
-// grew with them would take more than the node's whole allowance of traffic.
-Test(MetricsPage, WithoutAWordTenantsAreAddedUp)
+// A collector requests the page every few seconds. With the target of 210
+// tenants, a page that grows with their number would exceed the node's whole
+// traffic allowance.
+Test(MetricsPage, DefaultPageSumsTenants)
 {
   Metrics metrics;
   for (const char* tenant : { "a", "b", "c" }) {
@@ -139,7 +140,7 @@
   cr_assert(page.find("tenant=") == std::string::npos);
   cr_assert(page.find("class=\"urgent\",le=\"+Inf\"} 3\n") !=
             std::string::npos);
-  const MetricsSnapshot sum = AddUpTenants(snapshot);
+  const MetricsSnapshot sum = SumTenants(snapshot);
   cr_assert(sum.series_.size() == 2 && sum.series_[0].ran_ == 3);
   cr_assert(sum.series_[0].latency_.buckets_.back().cumulative_ == 3);
   cr_assert(MetricsText(snapshot, DetailOf("tenant")).find("tenant=\"b\"") !=
