--- a/Tests/Process/BadInputTest.cxx
+++ b/Tests/Process/BadInputTest.cxx
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr const char* kKeyHeader = "Authorization: Bearer bench-key\r\n";
-/** What a process may grow by while it turns bad input away. */
+/** Limit on the growth of a process's memory while it rejects bad input. */
 constexpr std::size_t kGrowthKilobytes = 48U << 10U;
 
 std::string
@@ -22,7 +22,7 @@
          kKeyHeader + "X-Mark: " + aMark + "\r\n\r\n";
 }
 
-/** Frames that no peer of ours sends, by what is wrong with them. */
+/** Returns invalid frames, keyed by a description of the fault. */
 std::vector<std::pair<std::string, std::string>>
 BadFrames()
 {
@@ -56,9 +56,9 @@
 
 }
 
-// A broken client (or a hostile one) sends what is not HTTP, or HTTP that means
-// two things at once. It must get a clear refusal that says "did not run";
-// callers beside it must notice nothing, and the entry must not grow.
+// Guards against malformed or ambiguous HTTP from a broken or hostile client.
+// The entry must refuse it with "did not run"; requests of other callers must
+// not be affected, and the entry's memory must not grow.
 Test(BadInput, MalformedHttpIsRefusedAndOthersUnharmed)
 {
   struct Case
@@ -127,9 +127,10 @@
   bench.Settle("malformed-http", "entry1");
 }
 
-// Slow clients hold connections open with half a request each, or one byte now
-// and then. They must be ended with 408 after the time that a request may take,
-// however lively they drip; others are served meanwhile.
+// Guards against slow clients that hold connections open with incomplete
+// requests or by sending single bytes. The entry must answer 408 when the time
+// limit of a request expires, even if bytes keep arriving, and serve other
+// requests meanwhile.
 Test(BadInput, SlowAndHalfSentRequestsTimeOut)
 {
   Bench bench;
@@ -160,9 +161,10 @@
   bench.Settle("slow-requests", "entry1");
 }
 
-// A balancer pipelines two requests of two clerks on one connection; the first
-// is slow. The library would send the second one's answer first, and each clerk
-// would read the other's price.
+// Guards against swapped answers on a pipelined connection. A balancer
+// pipelines two callers' requests and the first one is slow; the library would
+// send the second answer first, so that each caller would receive the other's
+// answer.
 Test(BadInput, PipelinedAnswersKeepTheirOrder)
 {
   Bench bench;
@@ -179,9 +181,9 @@
   cr_assert(first < second && second < third, "Answers crossed.");
 }
 
-// An impatient client hangs up while its request is at the upstream, or right
-// after sending it, again and again. Writing such an answer once killed the
-// process, and with it every other caller's connection.
+// Guards against a crash when callers repeatedly disconnect while a request is
+// at the upstream or right after sending it. Writing such an answer once
+// crashed the process and broke the connections of all other callers.
 Test(BadInput, EntryOutlivesCallersThatHangUp)
 {
   Bench bench;
@@ -204,9 +206,10 @@
   bench.Settle("hang-ups", "entry1");
 }
 
-// Another version of ours, a stray client, or a broken switch reaches a side's
-// port. The connection ends and is counted; nothing is guessed, no memory is
-// taken for lengths that only a header claims, and entries are served on.
+// Guards against invalid frames on a side's port, from a process of another
+// version, an unrelated client or a faulty switch. The side must close and
+// count the connection, allocate no memory for lengths that only a header
+// claims, and keep serving entries.
 Test(BadInput, BadFramesEndTheirConnectionOnly)
 {
   Bench bench;
@@ -243,8 +246,8 @@
   bench.Settle("bad-frames", "entry1");
 }
 
-// The same on the datagram sockets: of an entry, and of a side, whose port this
-// test learns by posing as one of its entries.
+// Guards against invalid datagrams at an entry and at a side. The test obtains
+// the side's port by acting as one of its entries.
 Test(BadInput, BadDatagramsAreDroppedAndCounted)
 {
   Bench bench;
--- a/Tests/Process/Bench.cxx
+++ b/Tests/Process/Bench.cxx
@@ -48,8 +48,8 @@
 }
 
 /**
- * An entry that has just started refuses a change, truthfully unmade, until the
- * table service has answered it once.
+ * Returns whether an entry refused a change because the table service has not
+ * answered it since its start. Such a change was not made.
  */
 bool
 IsTooEarly(const Result<HttpReply>& aPut)
@@ -395,7 +395,7 @@
   call.body_ = aBody;
   call.deadline_ = ReadMonotonicClock() + kCallBound;
   SignCall(call);
-  // Shared: the call may outlive a test that gave up waiting.
+  // Shared, because the call may outlive a test that timed out.
   auto result = std::make_shared<std::optional<Result<HttpReply>>>();
   caller_.Start(std::move(call), [result](const Result<HttpReply>& aReply) {
     *result = aReply;
@@ -423,7 +423,7 @@
 Bench::CreateJobs(const std::vector<std::string>& aEntries,
                   const std::vector<JobSpec>& aJobs)
 {
-  // Shared: the calls may outlive a test that gave up waiting.
+  // Shared, because the calls may outlive a test that timed out.
   auto replies = std::make_shared<std::vector<Result<HttpReply>>>();
   for (std::size_t index = 0; index < aJobs.size(); ++index) {
     VerbRequest request;
--- a/Tests/Process/Bench.h
+++ b/Tests/Process/Bench.h
@@ -13,23 +13,24 @@
 #include <string>
 #include <vector>
 
-/** How a test's caller asks. */
+/** Parameters of a test caller's request. */
 struct CallPlan
 {
-  /** "once" runs at most once, "again" is idempotent. */
+  /** Service "once" runs at most once, "again" is idempotent. */
   std::string service_ = "once";
   std::string method_ = "POST";
-  /** The upstream's behaviour: "work=50", "fail=close" and so on. */
+  /** Selects the upstream's behaviour, such as "work=50" or "fail=close". */
   std::string query_ = {};
   std::string idempotencyKey_ = {};
-  /** Empty: a new one. Repeated by a caller that retries. */
+  /** Identifies the call; a retry repeats it. Empty for a generated one. */
   std::string mark_ = {};
   std::string body_ = "lot";
 };
 
 /**
- * The processes of one test: a platform, entries, sides and upstreams, all on
- * loopback with ports of the kernel's choice, and callers in this process.
+ * Manages the processes of one test: a platform, entries, sides, upstreams and
+ * workers, all on loopback with ports assigned by the kernel. Callers run in
+ * the process of the test.
  */
 class Bench
 {
@@ -38,62 +39,62 @@
   ~Bench();
 
   Child& StartPlatform();
-  /** aMembership: the address of the host that it replaces. */
+  /** aMembership is the membership address, for a replacement the old one. */
   Child& StartEntry(const std::string& aName,
                     const std::string& aExtra = {},
                     const std::string& aMembership = "127.0.0.1:0");
-  /** aEntries: further membership addresses to send heartbeats to. */
+  /** aEntries holds further membership addresses to send heartbeats to. */
   Child& StartSide(const std::string& aName,
                    const std::string& aExtra = {},
                    const std::string& aEntries = {});
-  /** The same side on the same addresses, as after a restart of its host. */
+  /** Restarts a side on its addresses, as after a restart of its host. */
   Child& RestartSide(const std::string& aName);
-  /** A side of that name must run. */
+  /** Starts an upstream; a side of that name must be running. */
   Child& StartUpstream(const std::string& aSide,
                        const std::string& aService = "once",
                        const QStringList& aExtra = {});
-  /** A worker; it has registered itself in the platform's table service. */
+  /** Starts a worker that registers itself in the platform's table service. */
   Child& StartWorker(const std::string& aName, const QStringList& aExtra = {});
 
-  /** A side and its upstream. */
+  /** Starts a side and its upstream. */
   void StartRunner(const std::string& aSide,
                    const std::string& aService = "once",
                    const QStringList& aExtra = {});
 
   /**
-   * Puts other keys into a process's settings file, which must have some, and
-   * waits until it has taken them.
+   * Replaces the keys in a process's settings file, which must have some, and
+   * waits until the process has applied them.
    */
   void ReplaceKeys(const std::string& aName, const std::string& aKeys);
 
-  /** The process of that name: entry1, side1, upstream-side1, platform. */
+  /** Returns a process by name: entry1, side1, upstream-side1, platform. */
   Child& operator[](const std::string& aName);
 
-  /** A platform, entries and runners of service "once", configured. */
+  /** Starts a platform, entries and runners of "once", and configures them. */
   void StartUsual(std::size_t aEntries, std::size_t aRunners);
 
-  /** The settings file of a process that was started. */
+  /** Returns the path of a started process's settings file. */
   std::string SettingsPath(const std::string& aName) const;
 
-  /** The text of the tests' configuration with that version. */
+  /** Returns the text of the tests' configuration with that version. */
   static std::string ConfigText(std::uint64_t aVersion);
 
-  /** Configures version 1 through the entry and waits until all serve. */
+  /** Configures version 1 through the entry and waits until all serve it. */
   void Configure(const std::string& aEntry);
 
-  /** Waits until the entry sees the side as usable or not. */
+  /** Waits until the entry reports the side as usable or as unusable. */
   void WaitForSide(const std::string& aEntry,
                    const std::string& aSide,
                    bool aUsable = true);
 
-  /** Starts a call through the entry; its record's index. */
+  /** Starts a call through the entry; returns the index of its record. */
   std::size_t Send(const std::string& aEntry, const CallPlan& aPlan = {});
   const CallRecord& Call(std::size_t aIndex) const { return calls_[aIndex]; }
   const CallRecord& SendAndWait(const std::string& aEntry,
                                 const CallPlan& aPlan = {});
   void WaitForCalls();
 
-  /** One call of an operators' or platform's page, waited for. */
+  /** Calls an operators' or platform's page and waits for the reply. */
   cactusrail::Result<cactusrail::HttpReply> Ask(const std::string& aMethod,
                                                 const std::string& aUrl,
                                                 const std::string& aBody = {});
@@ -102,46 +103,47 @@
     const std::string& aTarget);
   void SetFault(const std::string& aMode, const std::string& aCount = {});
 
-  /** Creates the jobs, all at once, by turns through the entries. */
+  /** Creates all jobs concurrently, distributed round-robin over the entries.
+   */
   void CreateJobs(const std::vector<std::string>& aEntries,
                   const std::vector<cactusrail::JobSpec>& aJobs);
 
-  /** Waits until the job is over; asserts that all its tasks completed. */
+  /** Waits until the job has ended; asserts that all its tasks completed. */
   void WaitForJob(const std::string& aEntry, const std::string& aJob);
 
-  /** Waits until the only cell has an owner; the owner's name. */
+  /** Waits until the only cell has an owner; returns the owner's name. */
   std::string WaitForCellOwner(const std::string& aEntry);
 
-  /** Waits until the child has printed so many lines with that start. */
+  /** Waits until the child has printed aCount lines with that prefix. */
   void WaitForLines(const std::string& aName,
                     const std::string& aPrefix,
                     std::size_t aCount);
 
-  /** Lines "ran ..." of all upstreams, by mark or by request id. */
+  /** Counts the lines "ran ..." of all upstreams by mark or by request id. */
   std::map<std::string, std::size_t> Runs(bool aById = false) const;
   std::size_t RunsOf(const std::string& aMark) const;
-  /** The mark ran at that upstream. */
+  /** Returns whether the request with that mark ran at the upstream. */
   bool RanAt(const std::string& aUpstream, const std::string& aMark);
-  /** The request id under which the mark ran, for calls without an answer. */
+  /** Returns the request id of a mark that ran, for calls without an answer. */
   std::string RanIdOf(const std::string& aMark) const;
 
-  /** The steps that an entry explains a request with. */
+  /** Returns the steps of a request as the entry reports them. */
   std::vector<cactusrail::RequestStep> Explain(const std::string& aEntry,
                                                const std::string& aRequestId);
 
-  /** What those steps conclude. */
+  /** Returns the verdict that follows from the steps. */
   static cactusrail::Verdict Conclude(
     const std::vector<cactusrail::RequestStep>& aSteps);
 
   /**
-   * Ends a test: prints the counts and asserts that nothing ran twice that must
-   * not, no "did not run" was false, no body was another's, and explain through
-   * the entry contradicts none of it.
+   * Ends a test: prints the counts and asserts that no at-most-once request ran
+   * twice, no "did not run" was false, no body belonged to another request, and
+   * the entry's explanations are consistent with the verdicts.
    */
   Tally Settle(const std::string& aTestName, const std::string& aEntry);
 
 private:
-  /** When the first process was signalled; the clock's zero if none was. */
+  /** Returns the time of the first signal, or the clock's zero if none. */
   cactusrail::Instant FirstSignal() const;
   std::string WriteSettings(const std::string& aName, const std::string& aText);
   Child& Add(const std::string& aName,
@@ -155,7 +157,7 @@
   QTemporaryDir folder_;
   cactusrail::HttpCaller caller_;
   std::map<std::string, std::unique_ptr<Child>> children_;
-  /** Programs that were replaced; their output still counts. */
+  /** Replaced processes; their output is still evaluated. */
   std::vector<std::unique_ptr<Child>> former_;
   std::vector<CallRecord> calls_;
   std::size_t nextMark_ = 1;
--- a/Tests/Process/BurstTest.cxx
+++ b/Tests/Process/BurstTest.cxx
@@ -5,11 +5,11 @@
 
 using namespace cactusrail;
 
-// Six slow requests are open, callers go on as usual, and forty more ask in the
-// same moment. Two upstreams of eight slots serve them all within a fraction of
-// a second; yet some were turned away, as the queues of both sides were full.
-// The same burst at an entry that is being stopped showed it first, and looked
-// like a fault of the stop.
+// Guards against refusals during a burst that can be served in time. With six
+// slow requests open and regular traffic, forty requests arrive at once. Two
+// upstreams of eight slots serve all of them within a fraction of a second, but
+// some were refused because the queues of both sides were full. The fault first
+// appeared while an entry was stopping and looked like a fault of the stop.
 Test(Burst, OfRequestsThatAreServedInTimeIsNotTurnedAway)
 {
   Bench bench;
--- a/Tests/Process/Child.cxx
+++ b/Tests/Process/Child.cxx
@@ -53,7 +53,8 @@
     &process_, &QProcess::readyReadStandardError, &process_, [this] {
       log_ += process_.readAllStandardError().toStdString();
     });
-  // A test that fails ends without destructors; its children end with it.
+  // A failed test exits without running destructors; the signal ends its child
+  // processes.
   process_.setChildProcessModifier([] { ::prctl(PR_SET_PDEATHSIG, SIGKILL); });
   process_.start(QString::fromStdString(aProgram), aArguments);
   WaitUntil([this] { return !Lines("ready ").empty() || !Running(); },
--- a/Tests/Process/Child.h
+++ b/Tests/Process/Child.h
@@ -12,21 +12,23 @@
 #include <vector>
 
 /**
- * Runs the event loop until the condition holds; fails the test with the words
- * if it does not within the generous bound.
+ * Runs the event loop until the condition holds; fails the test with the
+ * description aWhat when the timeout expires.
  */
 void
 WaitUntil(const std::function<bool()>& aCondition, const std::string& aWhat);
 
-/** The same; the words are made when it fails, so that they can say what was
- * seen last. */
+/**
+ * Evaluates the description aWhat only on failure, so that it can contain the
+ * last observed state.
+ */
 void
 WaitUntil(const std::function<bool()>& aCondition,
           const std::function<std::string()>& aWhat);
 
 /**
- * One program of a test in a process of its own, killed with the object. Only
- * its own process id is ever signalled.
+ * Runs one program of a test in a process of its own and kills it on
+ * destruction. Signals are sent to the id of this process only.
  */
 class Child
 {
@@ -41,29 +43,29 @@
 
   const std::string& Name() const { return name_; }
 
-  /** The value of KEY=VALUE in the ready line. */
+  /** Returns the value of KEY=VALUE in the ready line. */
   std::string Value(std::string_view aKey) const;
 
-  /** Whole lines of stdout that start with the prefix. */
+  /** Returns the complete lines of stdout that start with the prefix. */
   std::vector<std::string> Lines(std::string_view aPrefix) const;
 
-  /** What the process wrote to its log so far. */
+  /** Returns the log output of the process so far. */
   const std::string& Log() const { return log_; }
 
   void Signal(int aSignal);
 
-  /** When it was first signalled; the clock's zero if it never was. */
+  /** Returns the time of the first signal, or the clock's zero if none. */
   cactusrail::Instant SignalledAt() const { return signalledAt_; }
 
-  /** SIGKILL; returns when the process is gone. */
+  /** Sends SIGKILL and waits until the process has ended. */
   void Kill();
 
   bool Running() const;
 
-  /** Waits for the end; returns the exit code, or -1 after a signal. */
+  /** Waits for the exit; returns the exit code, or -1 after a signal. */
   int WaitForEnd();
 
-  /** Resident memory now, in kilobytes. */
+  /** Returns the current resident memory in kilobytes. */
   std::size_t ResidentKilobytes() const;
 
 private:
--- a/Tests/Process/ConfigurationTest.cxx
+++ b/Tests/Process/ConfigurationTest.cxx
@@ -27,7 +27,7 @@
   return reply == nullptr ? 0 : reply->status_;
 }
 
-/** Waits until the process has logged that it took the version. */
+/** Waits until the process has logged that it applied the version. */
 void
 WaitForVersion(Bench& aBench, const std::string& aName, std::uint64_t aVersion)
 {
@@ -38,7 +38,10 @@
               " in force");
 }
 
-/** The version in force in the entry; 0 if it gives none. */
+/**
+ * Returns the configuration version in force in the entry, or 0 if it reports
+ * none.
+ */
 std::uint64_t
 Held(Bench& aBench, const std::string& aEntry)
 {
@@ -55,7 +58,9 @@
   return Held(aBench, aEntry) == aVersion;
 }
 
-/** The version in the table's row; 0 if there is none. */
+/**
+ * Returns the configuration version in the table's row, or 0 if there is none.
+ */
 std::uint64_t
 VersionInTable(Bench& aBench)
 {
@@ -76,8 +81,9 @@
 
 }
 
-// An operator's change is accepted by one entry. Within seconds it must be in
-// force in every entry and side; the letter's bound is 12 s.
+// Guards against a slow or partial rollout of a configuration change. A change
+// accepted by one entry must be in force in every entry and side within the
+// required 12 s.
 Test(Configuration, AcceptedIsInForceEverywhereWithinTheBound)
 {
   Bench bench;
@@ -118,8 +124,9 @@
   cr_assert(seconds.back() < 12.0);
 }
 
-// Two operators change the configuration at once through two entries. One is
-// accepted; the other is told of the conflict, and nothing of it is in force.
+// Guards against lost updates when two operators change the configuration at
+// once through two entries. One change is accepted; the other is refused with a
+// conflict, and no part of it is in force.
 Test(Configuration, OneOfTwoOperatorsIsToldOfTheConflict)
 {
   Bench bench;
@@ -152,8 +159,9 @@
   }
 }
 
-// The write takes effect, its answer is lost. The operator must still learn
-// that the change was made, exactly once, and not be sent into a second try.
+// Guards against an unknown outcome when a write takes effect but its answer is
+// lost. The operator must receive a success for a change made exactly once, so
+// that no retry is needed.
 Test(Configuration, LostAnswerIsResolved)
 {
   Bench bench;
@@ -163,8 +171,8 @@
   cr_assert(Holds(bench, "entry1", 2));
 }
 
-// A configuration that would not work is refused and leaves no trace; so is one
-// that skips a version.
+// Guards against accepting a configuration that is invalid or skips a version.
+// It must be refused without any effect.
 Test(Configuration, InvalidIsNeverAccepted)
 {
   Bench bench;
@@ -178,9 +186,9 @@
   cr_assert(Holds(bench, "entry1", 1));
 }
 
-// The table service is restored from an old copy (or answers from the past).
-// Without a guard every entry would go back to the old configuration although
-// operators were told that the new one is in force.
+// Guards against a rollback when the table service is restored from an old copy
+// or returns stale data. Without a guard every entry would revert to the old
+// configuration although operators were told that the new one is in force.
 Test(Configuration, RestoredTableDoesNotRevertIt)
 {
   Bench bench;
@@ -207,9 +215,9 @@
   WaitForVersion(bench, "entry1", 3);
 }
 
-// A host is replaced while the table service is down. The new entry must serve
-// with the configuration in force, which it can only have from its peers; a new
-// side gets it from an entry.
+// Guards against new processes that start without a configuration while the
+// table service is down. A replaced entry must obtain the configuration in
+// force from its peers, and a new side from an entry.
 Test(Configuration, NewProcessesLearnItWhileTheTableIsDown)
 {
   Bench bench;
--- a/Tests/Process/ExplainTest.cxx
+++ b/Tests/Process/ExplainTest.cxx
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Waits until an entry's steps so far are in the object store. */
+/** Waits until the object store holds an entry's steps so far. */
 void
 WaitUntilStored(Bench& aBench, const std::string& aEntry)
 {
@@ -40,8 +40,8 @@
 
 }
 
-// A support engineer asks any entry about a request that another entry took.
-// All entries must tell the same.
+// Guards against answers that depend on the entry. Every entry must explain a
+// request in the same way, also one that another entry served.
 Test(Explain, EveryEntryTellsTheSame)
 {
   Bench bench;
@@ -61,8 +61,9 @@
   cr_assert(bench.Explain("entry2", "nonsense").empty());
 }
 
-// The entry that took a request dies and its host is replaced. The accountant
-// asks a day later; memory is gone, the object store is not.
+// Guards against the loss of a request's steps when the entry that served it
+// dies and its host is replaced. The steps in memory are lost; those in the
+// object store must be enough to explain the request a day later.
 Test(Explain, OutlivesItsEntry)
 {
   Bench bench;
@@ -88,9 +89,9 @@
   bench.Settle("explain-entry-replaced", "entry2");
 }
 
-// A whole service is moved: its side is stopped as planned, the entry that sent
-// the request had already died with the answer on its way. Only the side's
-// segment knows that the request ran.
+// Guards against the loss of a request's steps when its side is stopped in a
+// planned way after its entry died with the answer in flight. Only the side's
+// segment records that the request ran.
 Test(Explain, OutlivesItsSide)
 {
   Bench bench;
@@ -99,7 +100,7 @@
     bench.Send("entry1", CallPlan{ .query_ = "work=2600" });
   WaitUntil([&] { return bench.RunsOf("m1") == 1; }, "the request to begin");
   bench.SendAndWait("entry1");
-  // "dispatched" must be in the store; the answer comes after the entry's end.
+  // The store must hold "dispatched"; the answer arrives after the entry's end.
   WaitUntilStored(bench, "entry1");
   bench["entry1"].Kill();
   bench.WaitForCalls();
@@ -118,8 +119,9 @@
             steps.size());
 }
 
-// The object store is down for a while: requests go on, their steps wait, and
-// reach the store when it is back.
+// Guards against lost steps during an outage of the object store. Requests
+// continue, and their buffered steps must reach the store when it is available
+// again.
 Test(Explain, SegmentsWaitForTheStore)
 {
   Bench bench;
--- a/Tests/Process/FailureTest.cxx
+++ b/Tests/Process/FailureTest.cxx
@@ -36,10 +36,10 @@
 
 }
 
-// The host of a runner dies with its side: some requests were answered, some
-// are at the upstream, some wait in the side's queue. Those at the upstream may
-// have run and must not be sent again; nobody may be told "did not run" of
-// them, and nobody may wait until the deadline.
+// Guards against false verdicts when a side's host dies with requests answered,
+// at the upstream and queued. Those at the upstream may have run: they must not
+// be sent again or reported as "did not run", and no caller may wait until the
+// deadline.
 Test(Failure, SideKilledWithRequestsQueuedDispatchedAndAnswered)
 {
   Bench bench;
@@ -59,9 +59,10 @@
   cr_assert(tally.mayHaveRun_ >= 2, "Those at the upstream are in doubt.");
 }
 
-// An entry's host dies while payouts of its callers are under way. The callers
-// try again through another entry with the same Idempotency-Key. No payout goes
-// out twice; each caller ends with the answer, or is told to ask for the first.
+// Guards against duplicate runs when an entry's host dies with requests in
+// flight and the callers retry through another entry with the same
+// Idempotency-Key. No request may run twice; each caller receives the answer or
+// is directed to the first request.
 Test(Failure, EntryKilledAndCallersRetryThroughAnother)
 {
   Bench bench;
@@ -92,9 +93,10 @@
   cr_assert(tally.doubled_ == 0);
 }
 
-// A side's process dies and is started anew on the same addresses while callers
-// go on. An answer for an attempt of its first life must never reach a caller
-// of its second, and nothing that its first life had sent on may run again.
+// Guards against mixing two incarnations of a side that restarts on the same
+// addresses under load. An answer for an attempt of the first incarnation must
+// never reach a caller of the second, and nothing that the first one dispatched
+// may run again.
 Test(Failure, SideRestartedOnTheSamePort)
 {
   Bench bench;
@@ -128,8 +130,8 @@
   cr_assert(tally.unanswered_ == 0);
 }
 
-// A rack goes: an entry and a side die together, with payouts under way, and
-// their callers try again through the entry that is left.
+// Guards against duplicate runs when an entry and a side fail together with
+// requests in flight and the callers retry through the remaining entry.
 Test(Failure, EntryAndSideKilledTogether)
 {
   Bench bench;
@@ -157,9 +159,10 @@
   bench.Settle("entry-and-side-killed", "entry2");
 }
 
-// The upstream's process dies in the middle of requests and comes back on
-// another port. What it was working on may have run; what comes before it is
-// announced again did not run, or runs elsewhere.
+// Guards against false verdicts when an upstream's process dies while it serves
+// requests and restarts on another port. Requests that it was serving may have
+// run; those that arrive before it is announced again did not run or run
+// elsewhere.
 Test(Failure, UpstreamKilledAndStartedAnew)
 {
   Bench bench;
@@ -189,9 +192,10 @@
   cr_assert(tally.unanswered_ == 0);
 }
 
-// A side stops for longer than entries believe in it (a stalled machine) and
-// then goes on as if nothing had happened. Meanwhile others serve; what it had
-// taken is answered late or in doubt, and never run again elsewhere.
+// Guards against duplicate runs when a side stalls for longer than its
+// heartbeat timeout at the entries and then continues. Other sides serve
+// meanwhile; requests that the stalled side had accepted are answered late or
+// with an unknown outcome, and never run again elsewhere.
 Test(Failure, SideFrozenPastItsSilence)
 {
   Bench bench;
@@ -218,9 +222,9 @@
   cr_assert(tally.unanswered_ == 0);
 }
 
-// An entry stops for seconds while an upstream says goodbye, and then acts on
-// its old view. The leaving upstream's side must refuse, and the entry must
-// take the request elsewhere; nothing new runs on the upstream that has left.
+// Guards against new requests at an upstream that has left. An entry is frozen
+// for seconds while the upstream leaves, and then acts on stale data. The
+// upstream's side must refuse, and the entry must send the request elsewhere.
 Test(Failure, FrozenEntryDoesNotFeedALeavingUpstream)
 {
   Bench bench;
@@ -241,9 +245,10 @@
   bench.Settle("entry-frozen", "entry1");
 }
 
-// The upstream's process stops for longer than its announcement lives. Callers
-// with little time are told "may have run" at their deadline and not later, and
-// when it thaws it does run what it holds: the verdict was right.
+// Guards against false or late verdicts when an upstream's process is frozen
+// for longer than its announcement is valid. Callers with a short deadline
+// receive "may have run" at the deadline and not later; the upstream does run
+// the requests when it continues, so that the verdict is correct.
 Test(Failure, UpstreamFrozenPastItsAnnouncement)
 {
   Bench bench;
@@ -270,9 +275,10 @@
   cr_assert(tally.unanswered_ == 0);
 }
 
-// The table service is down: a payout can't be kept from running twice, so it
-// is refused at once as "did not run", with the time to come back. Price
-// checks, which may run again, go on.
+// Guards against unnecessary refusals while the table service is down.
+// At-most-once requests can't be protected from running twice, so they are
+// refused at once as "did not run" with a retry time; idempotent requests
+// continue.
 Test(Failure, TableDownRefusesOnlyWhatNeedsIt)
 {
   Bench bench;
@@ -292,9 +298,9 @@
   bench.Settle("table-down", "entry1");
 }
 
-// The table service does what it is told and its answers are lost: of claims,
-// and of outcomes. Whatever callers are told must be true, and a repeated key
-// must not run again.
+// Guards against false verdicts when the table service applies writes of claims
+// and outcomes but loses its answers. Every verdict must be true, and a
+// repeated key must not run again.
 Test(Failure, TableLosesAnswers)
 {
   Bench bench;
@@ -322,8 +328,8 @@
   bench.Settle("table-loses-answers", "entry1");
 }
 
-// Two things at once: a side dies while the table service stalls, and the entry
-// is frozen in between.
+// Guards against false verdicts under combined faults: a side dies while the
+// table service stalls, and the entry is frozen meanwhile.
 Test(Failure, SideKilledWhileTheTableStalls)
 {
   Bench bench;
@@ -353,8 +359,9 @@
   cr_assert(tally.unanswered_ == 0);
 }
 
-// An upstream says goodbye under load but goes on serving. The bound of promise
-// 7 is measured from its goodbye to the last request that it begins.
+// Guards against new requests at an upstream that announces its departure under
+// load but continues to serve. The bound of promise 7 is measured from the
+// goodbye to the last request that the upstream begins.
 Test(Failure, LeavingUpstreamGetsNothingNew)
 {
   Bench bench;
--- a/Tests/Process/Ledger.cxx
+++ b/Tests/Process/Ledger.cxx
@@ -28,7 +28,7 @@
     }
     if (call.verdictText_ == "did not run") {
       ++tally.notRun_;
-      // By request id: a repeated key is answered for its own request.
+      // Counted by request id, because a repeated key has a verdict of its own.
       tally.falseNotRun_ += CountOf(aRunsById, call.requestId_) > 0 ? 1 : 0;
     } else if (call.verdictText_ == "may have run") {
       ++tally.mayHaveRun_;
--- a/Tests/Process/Ledger.h
+++ b/Tests/Process/Ledger.h
@@ -9,25 +9,25 @@
 #include <string>
 #include <vector>
 
-/** What the caller of one request was told, if it was told anything. */
+/** Records one request and the answer that its caller received, if any. */
 struct CallRecord
 {
-  /** Sent along as X-Mark, so that runs are known even if no answer came. */
+  /** Sent as X-Mark, which identifies runs even without an answer. */
   std::string mark_;
   bool atMostOnce_ = false;
   bool ended_ = false;
-  /** 0 when the connection ended without an answer. */
+  /** HTTP status, or 0 if the connection ended without an answer. */
   int status_ = 0;
   std::string requestId_;
   std::string verdictText_;
   std::string body_;
-  /** Why there was no answer, as the HTTP library says it. */
+  /** Reason for a missing answer, as reported by the HTTP library. */
   std::string failure_;
   cactusrail::Instant sentAt_;
   cactusrail::Instant endedAt_;
 };
 
-/** Counts over a whole run. */
+/** Counts the outcomes of all requests of a test run. */
 struct Tally
 {
   std::size_t sent_ = 0;
@@ -38,13 +38,13 @@
   std::size_t unanswered_ = 0;
   std::size_t doubled_ = 0;
   std::size_t falseNotRun_ = 0;
-  /** A 200 whose body was served for another request, or not whole. */
+  /** Answers 200 with a body of another request or an incomplete body. */
   std::size_t wrongBody_ = 0;
 };
 
 /**
- * Compares what callers were told with what upstreams truly ran. aRuns counts
- * runs by mark, aRunsById by request id.
+ * Compares the verdicts that callers received with the requests that upstreams
+ * ran. aRuns counts runs by mark, aRunsById by request id.
  */
 Tally
 Compare(const std::vector<CallRecord>& aCalls,
@@ -52,15 +52,16 @@
         const std::map<std::string, std::size_t>& aRunsById);
 
 /**
- * A line for each call that was turned away, cut off or left in doubt: when it
- * was sent, in ms since aSince, how long it took, what its caller was told, and
- * whether it ran. They tell causes apart that the counts don't.
+ * Returns a line for each call that was refused, disconnected or ended with an
+ * unknown outcome: the time when it was sent, in ms since aSince, its duration,
+ * the answer that its caller received, and whether it ran. The lines
+ * distinguish causes that the counts don't.
  */
 std::string
 TroubledText(const std::vector<CallRecord>& aCalls,
              const std::map<std::string, std::size_t>& aRuns,
              cactusrail::Instant aSince);
 
-/** One line for the log of the test run. */
+/** Returns one line with the counts for the log of the test run. */
 std::string
 TallyText(const std::string& aName, const Tally& aTally);
--- a/Tests/Process/RawCaller.h
+++ b/Tests/Process/RawCaller.h
@@ -5,27 +5,27 @@
 #include <string>
 #include <string_view>
 
-/** A TCP connection that sends whatever bytes a test likes. */
+/** A TCP connection that sends arbitrary bytes, also invalid HTTP. */
 class RawCaller
 {
 public:
-  /** aAddress is "IP:PORT"; returns connected. */
+  /** Connects to aAddress, "IP:PORT", and waits until connected. */
   explicit RawCaller(const std::string& aAddress);
 
   void Send(std::string_view aBytes);
 
-  /** All bytes received so far. */
+  /** Returns all bytes received so far. */
   const std::string& Received() const { return received_; }
 
   /** Waits for the text to arrive. */
   void WaitFor(const std::string& aText);
 
-  /** Waits until the other end has closed. */
+  /** Waits until the peer has closed the connection. */
   void WaitForClose();
 
   bool Closed() const;
 
-  /** Hangs up at once. */
+  /** Aborts the connection immediately. */
   void HangUp();
 
 private:
--- a/Tests/Process/SecurityTest.cxx
+++ b/Tests/Process/SecurityTest.cxx
@@ -22,7 +22,7 @@
   return "[security]\nkeys = " + aKeys + "\n";
 }
 
-/** The keys with which this test asks as an operator. */
+/** Sets the keys that this test uses as an operator. */
 void
 HoldKeys(const std::string& aKeys)
 {
@@ -36,7 +36,7 @@
   return reply == nullptr ? 0 : reply->status_;
 }
 
-/** The value of a counter on an entry's metrics page. */
+/** Returns the value of a counter on an entry's metrics page. */
 std::uint64_t
 CounterOf(Bench& aBench, const std::string& aEntry, const std::string& aName)
 {
@@ -49,9 +49,10 @@
 
 }
 
-// A key has leaked. Operators replace it on every host while clerks go on
-// calling: first all learn the new key, then it signs, then the old one goes.
-// No call may fail, and at the end the old key opens nothing.
+// Guards against failed calls during a key rotation. Operators replace a leaked
+// key on every host under load: all processes first accept the new key, then
+// sign with it, then drop the old one. No call may fail, and at the end the old
+// key must be rejected.
 Test(Security, KeysChangeWithoutCuttingACall)
 {
   Bench bench;
@@ -94,9 +95,9 @@
   cr_assert(Bench::Conclude(steps) == Verdict::Ran);
 }
 
-// An engineer asks one entry about a request that another entry served, in a
-// deployment with keys. The question among entries went unsigned, was refused,
-// and the engineer was told that nothing is known of the request.
+// Guards against unsigned queries between entries in a deployment with keys.
+// Such a query was refused, and an entry reported a request that another entry
+// had served as unknown.
 Test(Security, EntriesWithKeysExplainForEachOther)
 {
   Bench bench;
@@ -117,8 +118,9 @@
   cr_assert(CounterOf(bench, "entry1", "unauthentic_operators_total") == 0);
 }
 
-// Somebody who reaches the ports starts a side of his own to get clerks'
-// requests, and asks an entry for its configuration to learn the tenants.
+// Guards against unauthenticated access: an attacker who reaches the ports
+// starts a side to receive requests, and requests the configuration from an
+// entry to obtain the tenants.
 Test(Security, AStrangersSideAndQuestionsAreRefusedAndCounted)
 {
   Bench bench;
@@ -156,9 +158,9 @@
   cr_assert(CounterOf(bench, "entry1", "unauthentic_operators_total") == 5);
 }
 
-// Somebody who reaches a side's port asks it what it remembers of a request,
-// or sends it work, as an entry would. He is cut off, gets no byte of an
-// answer, and is counted; the entry's own link goes on.
+// Guards against unauthenticated links to a side's port that query a request's
+// steps or send work as an entry would. The side must close such a link without
+// answering, count it, and keep the entry's own link open.
 Test(Security, AStrangersLinkIsCutOffAndCounted)
 {
   Bench bench;
@@ -190,8 +192,8 @@
   cr_assert(bench.SendAndWait("entry1").status_ == 200);
 }
 
-// Settings with a slip must start nothing, and say so to the script that
-// started them.
+// Guards against starting with insecure settings. The process must not start,
+// and must report the fault to the script that started it.
 Test(Security, OpenPortsOnTheNetworkAreNotStarted)
 {
   Bench bench;
--- a/Tests/Process/StopTest.cxx
+++ b/Tests/Process/StopTest.cxx
@@ -10,10 +10,10 @@
 
 using namespace cactusrail;
 
-// An entry is stopped for an upgrade while clerks' slow requests are open and
-// the balancer still sends it new ones, on new and on kept-alive connections,
-// until it notices. Every request that was sent gets its answer; the balancer
-// turns away before the entry stops listening.
+// Guards against lost requests when an entry is stopped with slow requests open
+// while the balancer still sends new ones on new and on kept-alive connections.
+// Every request must be answered, and the balancer must stop using the entry
+// before the entry stops listening.
 Test(Stop, EntryCutsOffNoRequest)
 {
   Bench bench;
@@ -34,8 +34,8 @@
     },
     "traffic");
   bench["entry1"].Signal(SIGTERM);
-  // The balancer asks each entry whether it is ready, and goes on until then,
-  // and for a while after that: it takes two answers before it believes it.
+  // The balancer polls each entry's readiness and removes an entry only after
+  // two negative answers, so requests continue to arrive until then.
   std::size_t noticed = 0;
   std::size_t lastRuns = 0;
   WaitUntil(
@@ -68,10 +68,11 @@
   cr_assert(tally.notRun_ == 0, "%zu were turned away", tally.notRun_);
 }
 
-// A balancer asks each second whether an entry is ready, and sends it callers
-// until it has heard twice that it is not: two seconds and more after a stop
-// began. The entry took new connections for 1.5 s only; callers that came then
-// got 'connection refused', 40 of 40 in a burst 1.53 s after the signal.
+// Guards against refused connections during a stop. A balancer polls readiness
+// each second and removes an entry after two negative answers, two seconds and
+// more after the stop began. The entry accepted connections for 1.5 s only;
+// later callers got 'connection refused', 40 of 40 in a burst 1.53 s after the
+// signal.
 Test(Stop, EntryTakesCallersUntilTheBalancerHasHeardTwice)
 {
   Bench bench;
@@ -110,9 +111,9 @@
   cr_assert(tally.notRun_ == 0, "%zu were turned away", tally.notRun_);
 }
 
-// A side is stopped while its upstream works on requests, more are queued, and
-// entries that have not heard of it yet send on. All of them are answered; what
-// the side turns away runs elsewhere.
+// Guards against lost requests when a side is stopped while its upstream serves
+// requests, more are queued, and entries that have not been notified yet send
+// new ones. All must be answered; requests that the side refuses run elsewhere.
 Test(Stop, SideCutsOffNoRequest)
 {
   Bench bench;
@@ -129,8 +130,8 @@
       return bench.Runs().size() > 30;
     },
     "traffic");
-  // Slower than the time for which a side says that it is leaving; as many as
-  // it takes until some of them are on the side that stops.
+  // Takes longer than the side's leaving phase. Requests are sent until some of
+  // them are on the side that stops.
   std::vector<std::size_t> slow;
   const auto onSide = [&] {
     return std::count_if(slow.begin(), slow.end(), [&](std::size_t aIndex) {
@@ -168,10 +169,10 @@
             tally.mayHaveRun_);
 }
 
-// Connections are made in the very instant in which the entry stops listening.
-// Closing its socket would reset those that wait in the accept queue, with
-// requests on them. Whoever was connected gets an answer; the others are never
-// connected, so they know that nothing ran.
+// Guards against connection resets when an entry stops listening. Closing its
+// socket would reset connections that wait in the accept queue with requests on
+// them. Every connected caller must get an answer; the others are never
+// connected, so their requests did not run.
 Test(Stop, NoAcceptedConnectionIsReset)
 {
   Bench bench;
@@ -204,7 +205,8 @@
       }
       *ended = true;
       --open;
-      // 503 is an answer too: more come at once than there are slots.
+      // Also accepts 503, because more requests arrive at once than there are
+      // slots.
       const QByteArray answer = socket->readAll();
       const bool whole =
         answer.startsWith("HTTP/1.1 200") ||
@@ -217,7 +219,7 @@
     QObject::connect(socket, &QTcpSocket::errorOccurred, socket, end);
     socket->connectToHost(QHostAddress::LocalHost, port);
   };
-  // Four new connections a turn: the queue is never empty for long.
+  // Opens four connections per iteration to keep the accept queue filled.
   WaitUntil(
     [&] {
       for (int i = 0; i < 4 && open < 64; ++i) {
@@ -236,8 +238,9 @@
   cr_assert(answered == connected);
 }
 
-// What can't be finished by the bound is reported: the caller of a request that
-// hangs at the upstream is told "may have run", and the log counts it.
+// Guards against a stop without a time limit. The caller of a request that
+// hangs at the upstream must receive "may have run", and the log must count the
+// request.
 Test(Stop, BoundEndsARequestThatHangs)
 {
   Bench bench;
@@ -260,7 +263,8 @@
             bench.Call(hanging).status_);
 }
 
-// An operator who can't wait signals a second time: the process ends at once.
+// Guards against a stop that can't be cut short: a second signal must end the
+// process at once.
 Test(Stop, SecondSignalEndsAtOnce)
 {
   Bench bench;
@@ -279,9 +283,8 @@
   bench.WaitForCalls();
 }
 
-// A host is taken back while the process on it still starts. The signal comes
-// at whatever point of the start-up; the process must end by itself, and never
-// with a crash.
+// Guards against crashes and hangs when a process is signalled during start-up.
+// At any point of the start-up it must end by itself without a crash.
 Test(Stop, SignalDuringStartUpEndsTheProcess)
 {
   Bench bench;
@@ -295,7 +298,8 @@
     process.start(CACTUSRAIL_PROGRAM,
                   { "entry", QString::fromStdString(settings) });
     cr_assert(process.waitForStarted());
-    // Not a wait for an event: each round hits another point of the start-up.
+    // A deliberate delay, not a wait for an event: each round hits another
+    // point of the start-up.
     process.waitForReadyRead(wait * 2);
     ::kill(static_cast<pid_t>(process.processId()), SIGTERM);
   }
--- a/Tests/Process/Traffic.h
+++ b/Tests/Process/Traffic.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-/** Callers that go on until told to stop, each with one call at a time. */
+/** Keeps a number of concurrent calls open to generate load. */
 class Traffic
 {
 public:
@@ -16,7 +16,7 @@
   {
   }
 
-  /** Keeps up the number of open calls; call it from a waiting loop. */
+  /** Replaces ended calls; must be called repeatedly, as in WaitUntil. */
   void Pump(const std::string& aEntry, std::size_t aOpen)
   {
     std::erase_if(
--- a/Tests/Process/UpstreamFailureTest.cxx
+++ b/Tests/Process/UpstreamFailureTest.cxx
@@ -4,9 +4,9 @@
 
 using namespace cactusrail;
 
-// An accountant sends a payout. The upstream reads it whole, may act on it, and
-// closes the connection without an answer. Qt's client would send the POST once
-// more by itself; the payout would go out twice and nobody would know.
+// Guards against hidden retries. An upstream reads a request and closes the
+// connection without an answer; Qt's client would send the POST once more by
+// itself, and the request would run twice unnoticed.
 Test(UpstreamFailure, ClosedWithoutAnswerIsSentOnce)
 {
   Bench bench;
@@ -25,7 +25,7 @@
                 method,
                 body,
                 bench.RunsOf(onFresh.mark_));
-      // The next one leaves a kept-alive connection to the upstream behind.
+      // Leaves a kept-alive connection to the upstream for the next request.
       plan.query_ = "";
       cr_assert(bench.SendAndWait("entry1", plan).status_ == 200);
       plan.query_ = "fail=close";
@@ -41,9 +41,9 @@
   bench.Settle("closed-without-answer", "entry1");
 }
 
-// A clerk reads a price list of which the last rows are missing, because the
-// upstream's connection broke in the middle of its answer, or the answer never
-// said how long it was. Neither may pass for a whole answer.
+// Guards against truncated answers that pass as whole. The upstream's
+// connection breaks in the middle of an answer, or the answer does not state
+// its length.
 Test(UpstreamFailure, TruncatedOrLengthlessIsNeverASuccess)
 {
   Bench bench;
@@ -59,9 +59,9 @@
   bench.Settle("truncated", "entry1");
 }
 
-// A runner has eight slots, but Qt's client opens no more than six connections
-// to one host and queues the rest unseen: two slots would stay empty while
-// warehouse clerks wait.
+// Guards against unused slots. Qt's client opens no more than six connections
+// to one host and queues further requests internally, so two of eight slots
+// would stay empty while callers wait.
 Test(UpstreamFailure, AllEightSlotsAreUsed)
 {
   Bench bench;
--- a/Tests/Process/WorkTest.cxx
+++ b/Tests/Process/WorkTest.cxx
@@ -13,8 +13,10 @@
 
 constexpr std::int64_t kMemoryMb = 100;
 
-/** A line "started TASK EPOCH CHECKPOINT" or "ended TASK EPOCH REASON
- * CHECKPOINT" of a worker. */
+/**
+ * A worker's line "started TASK EPOCH CHECKPOINT" or "ended TASK EPOCH REASON
+ * CHECKPOINT".
+ */
 struct WorkerLine
 {
   explicit WorkerLine(const std::string& aLine)
@@ -36,7 +38,7 @@
   std::string checkpoint_;
 };
 
-/** The lines of one event, or of both in their order if it is empty. */
+/** Returns the lines of one event, or of all events in order if it is empty. */
 std::vector<WorkerLine>
 LinesOf(Child& aWorker, const std::string& aEvent = {})
 {
@@ -60,7 +62,7 @@
   return starts;
 }
 
-/** A batch that must not be paid twice. */
+/** Returns a batch job whose tasks must not run twice. */
 JobSpec
 Payouts(const std::string& aId,
         std::uint32_t aTasks,
@@ -78,7 +80,7 @@
   return job;
 }
 
-/** A platform and two entries that are configured. */
+/** Starts a platform and two entries, and configures them. */
 void
 StartEntries(Bench& aBench)
 {
@@ -106,9 +108,10 @@
 
 }
 
-// A partner is paid twice: the entry that started the payouts is killed, the
-// one that takes its cell over doesn't know them and starts them again. Some
-// end while nobody owns the cell, some run on under their new owner, some wait.
+// Guards against duplicate runs when the owner of a cell is killed. The entry
+// that takes the cell over doesn't know the tasks and could start them again.
+// Some tasks end while the cell has no owner, some run on under the new owner,
+// some are pending.
 Test(Work, Promise2OwnerKilled)
 {
   Bench bench;
@@ -145,9 +148,10 @@
             << " started in all=" << starts.size() << std::endl;
 }
 
-// A worker is overbooked and its host stalls: two entries race for its cell and
-// place work on it at once, each without the other's. The worker has more room
-// than it states, so that it refuses nothing and only the entries' guards hold.
+// Guards against overcommitted workers. A host stalls and two entries race for
+// its cell, each placing work without knowing of the other's. The worker's real
+// capacity exceeds the stated one, so that it refuses nothing and only the
+// entries' guards are tested.
 Test(Work, Promise1NeverMoreThanAWorkerHolds)
 {
   constexpr std::int64_t kStatedMilliCpus = 4000;
@@ -184,9 +188,9 @@
             << " started=" << starts.size() << std::endl;
 }
 
-// An evicted payout batch is resumed twice, or from an older checkpoint, and
-// pays some partners again: two operators evict it at once, one of them twice.
-// The worker stands still meanwhile, so that all of them mean the same run.
+// Guards against resuming an evicted task twice or from an older checkpoint.
+// Two operators evict it at once, one of them twice, while the worker is
+// frozen, so that all evictions refer to the same run.
 Test(Work, Promise3EvictedResumesOnce)
 {
   Bench bench;
