--- a/Tests/EventLoop.h
+++ b/Tests/EventLoop.h
@@ -9,7 +9,10 @@
 
 namespace cactusrail {
 
-/** Turns the event loop until it holds; false if it doesn't within aMost. */
+/**
+ * Runs the event loop until aHolds returns true; returns false if that does not
+ * happen within aMost.
+ */
 inline bool
 WaitInLoop(const std::function<bool()>& aHolds, Millis aMost = Millis(30000))
 {
--- a/Tests/Measure/DecisionBench.cxx
+++ b/Tests/Measure/DecisionBench.cxx
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** The sizes: today's, twice in between, the target's. */
+/** Numbers of workers: today's size, two sizes in between, the target size. */
 void
 Sizes(benchmark::internal::Benchmark* aBenchmark)
 {
@@ -21,7 +21,7 @@
   }
 }
 
-/** One request: choose, send, answer; a heartbeat for each fourth. */
+/** Routes one request: choose, send, answer; every fourth with a heartbeat. */
 void
 Route(benchmark::State& aState)
 {
@@ -57,7 +57,7 @@
   std::vector<WorkerFacts> workers_;
 };
 
-/** Twelve tasks a worker, which is 6,700 at the target's size. */
+/** Makes a cluster of twelve tasks per worker, 6,700 at the target size. */
 Cluster
 MakeCluster(std::size_t aWorkers)
 {
@@ -111,7 +111,7 @@
 }
 BENCHMARK(Place)->Apply(Sizes);
 
-/** A full cluster: every worker is looked at and none can be had. */
+/** Measures a full cluster: every worker is scanned and none has capacity. */
 void
 PlaceNowhere(benchmark::State& aState)
 {
@@ -131,7 +131,9 @@
 }
 BENCHMARK(PlaceNowhere)->Apply(Sizes);
 
-/** A full queue of 210 tenants: one is refused or another shed. */
+/**
+ * Measures a full queue of 210 tenants: one request is refused or another shed.
+ */
 void
 Refuse(benchmark::State& aState)
 {
--- a/Tests/Measure/Measure.cxx
+++ b/Tests/Measure/Measure.cxx
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** A reference session: one side switched off. */
+/** Name of a reference session with the urgent or the batch work disabled. */
 constexpr const char* kUrgentAlone = "urgent-alone";
 constexpr const char* kBatchAlone = "batch-alone";
 constexpr const char* kOwnBatchAlone = "batch-alone-own";
@@ -37,7 +37,7 @@
   return world.Run(*policy);
 }
 
-/** Sessions are independent; each runs on its own virtual clock. */
+/** Runs the sessions in parallel; each has its own virtual clock. */
 void
 RunAll(std::vector<Job>& aJobs, std::size_t aThreads)
 {
@@ -82,9 +82,9 @@
     }
   };
   add("cactusrail", kUrgentAlone, true, false);
-  // Two references for batch work with no urgent work on the same capacity:
-  // plain least loaded, which holds nothing back, and our own policy, which
-  // wastes nothing on impossible jobs. The larger one of a seed counts.
+  // Two references for batch work without urgent work on the same capacity:
+  // plain least loaded, which reserves nothing, and the product's policy, which
+  // wastes nothing on impossible jobs. The larger result of a seed counts.
   add("least-loaded-hold", kBatchAlone, false, true);
   add("cactusrail", kOwnBatchAlone, false, true);
   for (const std::string& policy : aPolicies) {
@@ -93,7 +93,7 @@
   return jobs;
 }
 
-/** Median and half the distance between the quartiles. */
+/** Median and half of the interquartile range. */
 struct Spread
 {
   double median_ = 0;
@@ -120,7 +120,7 @@
   std::ostringstream text;
   text << std::fixed << std::setprecision(aDigits) << aSpread.median_ << "±"
        << aSpread.spread_;
-  // The sign takes two bytes and one column.
+  // The sign takes two bytes but one column.
   std::cout << std::setw(14) << text.str();
 }
 
@@ -213,7 +213,10 @@
   }
 }
 
-/** Hard invariants only; what a machine's speed or luck can't change. */
+/**
+ * Checks hard invariants only, which depend neither on the machine's speed nor
+ * on chance.
+ */
 bool
 CheckQuick(const Deployment& aDeployment)
 {
--- a/Tests/Measure/MetricsCost.cxx
+++ b/Tests/Measure/MetricsCost.cxx
@@ -9,9 +9,9 @@
 #include <vector>
 
 /**
- * Prints what the metrics cost at the target's number of tenants: recording
- * with nobody reading, recording while a reader takes snapshots without a
- * pause, the time of a snapshot, and the size of the page.
+ * Prints the cost of the metrics at the target's number of tenants: recording
+ * without a reader, recording while a reader continuously takes snapshots, the
+ * time of a snapshot, and the size of the page.
  */
 
 using namespace cactusrail;
@@ -25,7 +25,9 @@
 
 using Nanos = std::chrono::nanoseconds;
 
-/** The durations of recordings in one lane, in nanoseconds, sorted. */
+/**
+ * Returns the sorted durations of the recordings in one lane, in nanoseconds.
+ */
 std::vector<std::int64_t>
 RecordAll(Metrics& aMetrics, std::size_t aLane)
 {
--- a/Tests/Measure/Policies.cxx
+++ b/Tests/Measure/Policies.cxx
@@ -19,7 +19,9 @@
   return std::find(aRunners.begin(), aRunners.end(), aRunner) != aRunners.end();
 }
 
-/** What the baselines share: the views of each entry and a plain eviction. */
+/**
+ * Common part of the baselines: the views of each entry and a plain eviction.
+ */
 class Baseline : public Policy
 {
 public:
@@ -53,7 +55,10 @@
     views_[aEntry][aRunner].up_ = false;
   }
 
-  /** Evicts the newest batch task where requests are slow; the usual way. */
+  /**
+   * Evicts the newest batch task where requests are slow, which is the usual
+   * strategy.
+   */
   std::vector<ReactionStep> React(std::span<const PressedWorker> aWorkers,
                                   Instant aNow) override
   {
@@ -251,7 +256,7 @@
 
 constexpr const char* kVictim = "urgent service";
 
-/** The product's own decision modules. */
+/** Runs the product's own decision modules. */
 class Engine : public Policy
 {
 public:
@@ -430,7 +435,9 @@
   std::vector<std::vector<std::optional<Router::Runner>>> known_;
 };
 
-/** The engine's rules with the hidden truth in place of what it learned. */
+/**
+ * Applies the engine's rules with the hidden properties in place of estimates.
+ */
 class Oracle : public Engine
 {
 public:
--- a/Tests/Measure/Policies.h
+++ b/Tests/Measure/Policies.h
@@ -9,7 +9,7 @@
 
 namespace cactusrail::measure {
 
-/** The names that MakePolicy knows, in the order of the table. */
+/** Returns the names that MakePolicy accepts, in the order of the table. */
 const std::vector<std::string>&
 PolicyNames();
 
--- a/Tests/Measure/Policy.h
+++ b/Tests/Measure/Policy.h
@@ -20,19 +20,19 @@
   Resources used_;
 };
 
-/** What a worker reports each second; it arrives late. */
+/** A worker's report, made each second and delivered with a delay. */
 struct WorkerReport
 {
   std::size_t worker_ = 0;
   Instant measuredAt_;
-  /** Mean time that requests took on a slot, in microseconds. */
+  /** Mean service time of requests on a slot, in microseconds. */
   double latencyMicros_ = 0;
   double samples_ = 0;
   double load_ = 0;
   std::vector<TaskReport> tasks_;
 };
 
-/** How a task left its worker. */
+/** Reason for which a task left its worker. */
 enum class TaskEnd : std::uint8_t
 {
   Finished,
@@ -40,7 +40,7 @@
   Stopped,
 };
 
-/** What a policy is asked and told; the world calls it in time order. */
+/** Interface of a scheduling policy; the world calls it in time order. */
 class Policy
 {
 public:
@@ -57,7 +57,9 @@
                            const RunnerReport& aReport,
                            Instant aNow) = 0;
   virtual void OnSilent(std::size_t aEntry, std::size_t aRunner) = 0;
-  /** A request arrived at the entry; pays into the retry budget. */
+  /**
+   * Handles the arrival of a request at the entry; adds to the retry budget.
+   */
   virtual void OnRequest(std::size_t, Instant) {}
   virtual bool MayRetry(std::size_t, Instant) { return true; }
 
@@ -67,7 +69,7 @@
     Instant aNow) = 0;
   virtual void OnReport(const WorkerReport&, Instant) {}
   virtual void OnTaskEnd(std::size_t, const TaskFacts&, TaskEnd, Instant) {}
-  /** Whether the program's tasks are parked as impossible. */
+  /** Returns whether the program's tasks are parked because they can't run. */
   virtual bool IsParked(const std::string&) { return false; }
   virtual std::vector<ReactionStep> React(
     std::span<const PressedWorker> aWorkers,
--- a/Tests/Measure/Scenario.cxx
+++ b/Tests/Measure/Scenario.cxx
@@ -20,7 +20,10 @@
   return std::uniform_real_distribution<double>(aLow, aHigh)(aRandom);
 }
 
-/** Quiet, middling and loud programs, in this order. */
+/**
+ * Returns the slowdown by a program: quiet, medium and noisy ones in this
+ * order.
+ */
 double
 DrawHurt(Random& aRandom, std::size_t aIndex)
 {
--- a/Tests/Measure/Scenario.h
+++ b/Tests/Measure/Scenario.h
@@ -12,7 +12,7 @@
 
 using Random = std::mt19937_64;
 
-/** Sizes and weights of one user, from the brief. */
+/** Sizes and weights of one user's deployment, from the brief. */
 struct Deployment
 {
   std::string name_;
@@ -20,10 +20,10 @@
   std::size_t entries_ = 4;
   std::uint32_t slots_ = 8;
   Resources capacity_;
-  /** Held for the runner on each worker; the batch gets the rest. */
+  /** Reserved for the runner on each worker; the batch work gets the rest. */
   Resources runnerReserve_;
   double serviceMs_ = 40;
-  /** Mean part of all slots that the requests keep busy. */
+  /** Mean fraction of all slots that the requests occupy. */
   double utilisation_ = 0.4;
   double taskCores_ = 4;
   PolicyWeights weights_;
@@ -34,7 +34,10 @@
 Deployment
 ValtierraDeployment();
 
-/** What a batch program truly does; policies never see it, the oracle does. */
+/**
+ * Real properties of a batch program, visible to the oracle only and hidden
+ * from the other policies.
+ */
 struct HiddenProgram
 {
   std::string name_;
@@ -45,20 +48,22 @@
   std::uint64_t declaredRunMs_ = 0;
   /** Slowdown that one task adds to urgent work on a fully loaded runner. */
   double hurt_ = 0;
-  /** In a noisy wave the slowdown is this many times as large. */
+  /** Factor by which a noisy wave multiplies the slowdown. */
   double waveFactor_ = 1;
   double waveOn_ = 8;
   double waveOff_ = 30;
   double wavePhase_ = 0;
   /** Slowdown that a loaded runner adds to a task of the program. */
   double dragged_ = 0;
-  /** Seconds that a checkpoint takes; 0 if it can't. */
+  /**
+   * Duration of a checkpoint in seconds; 0 if checkpoints are not supported.
+   */
   double checkpointSeconds_ = 0;
   bool payout_ = false;
   bool impossible_ = false;
 };
 
-/** One seed's hidden truth. */
+/** Hidden properties of a session's system, derived from one seed. */
 struct Scenario
 {
   std::vector<HiddenProgram> programs_;
@@ -70,15 +75,20 @@
 Scenario
 MakeScenario(const Deployment& aDeployment, std::uint64_t aSeed);
 
-/** The part of the hidden slowdown that shows at this load of the runner. */
+/**
+ * Returns the fraction of the hidden slowdown that takes effect at this load of
+ * the runner.
+ */
 double
 LoadShape(double aLoad);
 
-/** The program's wave factor at a time. */
+/** Returns the program's wave factor at a time. */
 double
 WaveAt(const HiddenProgram& aProgram, double aSeconds);
 
-/** Requests a second at a time: slow waves and short bursts. */
+/**
+ * Returns the requests per second at a time, with slow waves and short bursts.
+ */
 double
 RequestRate(const Deployment& aDeployment, double aSeconds);
 
--- a/Tests/Measure/World.cxx
+++ b/Tests/Measure/World.cxx
@@ -24,7 +24,7 @@
 constexpr double kUrgentTaskSeconds = 8.0;
 constexpr double kLaunchSeconds = 0.3;
 constexpr std::size_t kTriesOfTask = 4;
-/** Faults that every session meets: worker, from, to, in seconds. */
+/** Faults in every session: worker, start and end in seconds. */
 constexpr std::size_t kCrashed = 6;
 constexpr double kCrashFrom = 90;
 constexpr double kCrashTo = 115;
@@ -88,7 +88,7 @@
   double arrivedAt_ = 0;
   double startedAt_ = 0;
   double startsAt_ = 0;
-  /** When a move under way ends; 0 if none is. */
+  /** Time at which the current move ends, or 0 if none is in flight. */
   double movesAt_ = 0;
   std::size_t tries_ = 0;
 };
@@ -106,7 +106,7 @@
   double latencySum_ = 0;
   double served_ = 0;
   double busySum_ = 0;
-  /** The latest report that arrived. */
+  /** Latest report that arrived. */
   WorkerReport known_;
   std::vector<double> heardAt_;
 };
@@ -534,8 +534,8 @@
     }
     kept.push_back(task);
   }
-  // The host itself kills the newest task when memory runs out; that is an
-  // eviction too, whoever placed it so.
+  // The host itself kills the newest task when memory runs out. Each such kill
+  // counts as an eviction, regardless of the policy that placed the task.
   const double room = static_cast<double>(deployment_.capacity_.memoryMb_ -
                                           deployment_.runnerReserve_.memoryMb_);
   if (memory > room && !kept.empty() && !kept.back().urgent_) {
--- a/Tests/Measure/World.h
+++ b/Tests/Measure/World.h
@@ -10,18 +10,23 @@
 
 namespace cactusrail::measure {
 
-/** What runs in a session; the references switch one side off. */
+/**
+ * Selects what runs in a session; the reference sessions disable the urgent or
+ * the batch work.
+ */
 struct SessionOptions
 {
   std::uint64_t seed_ = 1;
   double seconds_ = 180;
-  /** Learning time that is not measured. */
+  /** Warm-up time in seconds, which is not measured. */
   double warmUpSeconds_ = 30;
   bool urgent_ = true;
   bool batch_ = true;
 };
 
-/** What a session came to. Latencies in milliseconds, work in core seconds. */
+/**
+ * Results of a session. Latencies are in milliseconds, work is in core seconds.
+ */
 struct Outcome
 {
   double p50_ = 0;
@@ -31,35 +36,41 @@
   double evictions_ = 0;
   double payoutEvictions_ = 0;
   double moves_ = 0;
-  /** Requests without an answer, in 10,000. */
+  /** Requests without an answer, per 10,000. */
   double refusals_ = 0;
-  /** Start of urgent tasks: 99th percentile, seconds. */
+  /** 99th percentile of the start delay of urgent tasks, in seconds. */
   double start99_ = 0;
   double overCommits_ = 0;
-  /** Task starts that failed on a bad worker or for an impossible job. */
+  /** Task starts that failed on a faulty worker or for an impossible job. */
   double wastedStarts_ = 0;
   std::uint64_t answered_ = 0;
 };
 
-/** The truth that only the oracle may look at. */
+/** Gives the oracle access to the hidden state of the world. */
 class Truth
 {
 public:
   virtual ~Truth() = default;
-  /** Expected time until the runner would answer one more request, in us. */
+  /**
+   * Returns the expected time until the runner would answer one more request,
+   * in microseconds.
+   */
   virtual double ExpectedMicros(std::size_t aEntry, std::size_t aRunner) = 0;
   virtual bool IsUp(std::size_t aRunner) = 0;
-  /** Slowdown of the urgent work on a worker, now. */
+  /** Returns the current slowdown of the urgent work on a worker. */
   virtual double Slowdown(std::size_t aWorker) = 0;
   virtual double Load(std::size_t aWorker) = 0;
-  /** Slowdown that a task of the program adds on a loaded runner, now. */
+  /**
+   * Returns the slowdown that a task of the program currently adds on a loaded
+   * runner.
+   */
   virtual double Hurt(const std::string& aProgram) = 0;
 };
 
 /**
- * Small fake workers and runners on a virtual clock: no network, no processes,
- * no threads. All randomness comes from the seed; a session with the same seed
- * meets the same requests and the same tasks whatever the policy does.
+ * Simulates small workers and runners on a virtual clock, without network,
+ * processes or threads. All randomness comes from the seed; sessions with the
+ * same seed get the same requests and tasks under every policy.
  */
 class World
 {
--- a/Tests/StandIns/CallerStandIn.cxx
+++ b/Tests/StandIns/CallerStandIn.cxx
@@ -1,5 +1,5 @@
-// Takes the place of callers: keeps a number of requests going against one URL
-// and prints requests per second and latencies at the end.
+// Stands in for callers: keeps a number of requests open against one URL and
+// prints requests per second and latencies at the end.
 
 #include "Connection/HttpCaller.h"
 #include "StandInOptions.h"
--- a/Tests/StandIns/PlatformStandIn.cxx
+++ b/Tests/StandIns/PlatformStandIn.cxx
@@ -1,12 +1,13 @@
-// Takes the place of the platform's table service and object store. Keeps rows
-// in memory. POST /fault?mode=MODE&count=N makes the next N calls fail:
-//   down        answer 503 without doing anything
+// Stands in for the platform's table service and object store. Keeps rows and
+// objects in memory. POST /fault?mode=MODE&count=N makes the next N calls fail:
+//   down        answer 503 without any other effect
 //   lose-answer apply the write, then close without an answer
 //   stall       never answer
-//   past        reads answer as of the last "remember", or else as of now
-//   remember    keeps a copy of all rows; ends every fault
-//   restore     puts that copy back; ends every fault
-// mode=none ends every fault. GET /count tells writes and reads so far.
+//   past        reads return the rows of the last "remember", or else a copy
+//               made now
+//   remember    saves a copy of all rows; ends every fault
+//   restore     restores that copy; ends every fault
+// mode=none ends every fault. GET /count returns the writes and reads so far.
 
 #include "Connection/HttpFront.h"
 #include "StandInOptions.h"
@@ -43,7 +44,7 @@
   std::uint64_t reads_ = 0;
   std::string faultMode_ = "none";
   std::uint64_t faultCount_ = 0;
-  /** Stalled exchanges are kept, so that they are never answered. */
+  /** Holds stalled exchanges, so that they are never answered. */
   std::vector<HttpExchange> stalled_;
 };
 
--- a/Tests/StandIns/StandInOptions.h
+++ b/Tests/StandIns/StandInOptions.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-/** The command line of a stand-in; prints what is wrong with it. */
+/** Parses the command line of a stand-in; prints an error if it is invalid. */
 inline std::optional<boost::program_options::variables_map>
 ParseStandInOptions(int aCount,
                     char** aArguments,
--- a/Tests/StandIns/UpstreamStandIn.cxx
+++ b/Tests/StandIns/UpstreamStandIn.cxx
@@ -1,13 +1,14 @@
-// Takes the place of a runner of a service: announces itself to its side and
-// serves HTTP with a number of slots. The query of a request tells it how to
-// behave: work=MS serves for so long; fail=close ends the connection without an
-// answer; fail=truncate sends half an answer; fail=lengthless sends one that
-// does not state its length; fail=hang never answers.
-// Every request that it begins is written to stdout: "ran ID MARK", MARK being
-// the caller's X-Mark, so that tests can compare what callers were told with
-// what truly ran; "busy N" tells the most that ran at once. It reads HTTP with
-// plain sockets, because a library would not fail so. SIGTERM sends the goodbye
-// and ends it once what runs is finished.
+// Stands in for a runner of a service: announces itself to its side and serves
+// HTTP with a number of slots. The query of a request selects the behaviour:
+// work=MS takes that long to serve; fail=close closes the connection without an
+// answer; fail=truncate sends half an answer; fail=lengthless sends an answer
+// that does not state its length; fail=hang never answers. Each request that
+// begins is written to stdout as "ran ID MARK", where MARK is the caller's
+// X-Mark, so that tests can compare the verdicts that callers received with the
+// requests that ran; "busy N" reports each new maximum of concurrent requests.
+// HTTP is read from plain sockets, because a library could not produce these
+// failures. SIGTERM sends the goodbye and ends the process when the running
+// requests have finished.
 
 #include "Connection/HttpCaller.h"
 #include "Connection/HttpFraming.h"
@@ -49,7 +50,7 @@
          ",\"incarnation\":" + std::to_string(aFacts.incarnation_) + "}";
 }
 
-/** One request as it arrived, and the connection to answer on. */
+/** One received request and the connection to answer on. */
 struct Arrival
 {
   QPointer<QTcpSocket> socket_;
@@ -64,7 +65,7 @@
   }
 };
 
-/** Splits a whole request; its bounds were found before. */
+/** Parses a complete request, the bounds of which are already known. */
 Arrival
 ReadArrival(QTcpSocket* aSocket,
             const std::string& aBytes,
--- a/Tests/StandIns/WorkerStandIn.cxx
+++ b/Tests/StandIns/WorkerStandIn.cxx
@@ -1,12 +1,13 @@
-// Takes the place of a worker of the platform: registers itself in the table
-// service and runs tasks under leases. Prints "started TASK EPOCH CHECKPOINT"
-// and "ended TASK EPOCH REASON CHECKPOINT" as it truly happens, so that tests
-// can compare. POST /fault?mode=MODE&count=N makes the next N calls fail:
-//   stall         never answer, do nothing
-//   lose-answer   do what was asked, then never answer
+// Stands in for a worker of the platform: registers itself in the table service
+// and runs tasks under leases. Prints "started TASK EPOCH CHECKPOINT" and
+// "ended TASK EPOCH REASON CHECKPOINT" for each actual start and end, so that
+// tests can compare them with reports. POST /fault?mode=MODE&count=N makes the
+// next N calls fail:
+//   stall         never answer, without any effect
+//   lose-answer   apply the command, then never answer
 //   fail-tasks    every task that starts fails at once (no count)
 //   report-less   leave running tasks out of reports (no count)
-// mode=none ends every fault. GET /truth tells what runs.
+// mode=none ends every fault. GET /truth returns the running tasks.
 
 #include "Connection/HttpCaller.h"
 #include "Connection/HttpFront.h"
@@ -33,7 +34,10 @@
 constexpr int kAdvanceMs = 20;
 constexpr int kRegisterMs = 500;
 
-/** Counts while the host sleeps, so that a lease runs out then too. */
+/**
+ * Returns a clock that also advances while the host is suspended, so that
+ * leases expire during that time.
+ */
 std::int64_t
 ReadWorkerClock()
 {
@@ -70,7 +74,7 @@
   std::string faultMode_ = "none";
   std::uint64_t faultCount_ = 0;
   bool reportLess_ = false;
-  /** Stalled exchanges are kept, so that they are never answered. */
+  /** Holds stalled exchanges, so that they are never answered. */
   std::vector<HttpExchange> stalled_;
 };
 
@@ -163,7 +167,9 @@
   }
 }
 
-/** Writes the row "worker/ID" until the table service has taken it. */
+/**
+ * Writes the row "worker/ID", with retries until the table service accepts it.
+ */
 class Registration
 {
 public:
--- a/Tests/StandIns/WorkerTasks.h
+++ b/Tests/StandIns/WorkerTasks.h
@@ -9,15 +9,16 @@
 #include <utility>
 
 /**
- * What the platform's worker promises about tasks: each start once at most, an
- * end at the deadline by its own clock, nothing from a lower epoch. Pure; the
- * stand-in process and the golden sessions share it. Times in microseconds of
- * the worker's clock.
+ * Implements the guarantees of the platform's worker about tasks: each start is
+ * applied at most once, a task ends when its lease expires by the worker's
+ * clock, and commands of a lower epoch are refused. It does no I/O; the
+ * stand-in process and the golden sessions share it. Times are in microseconds
+ * of the worker's clock.
  */
 class WorkerTasks
 {
 public:
-  /** Told "started" or "ended" as it truly happens. */
+  /** Called with "started" or "ended" for each actual start or end. */
   using Truth = std::function<void(const std::string& aEvent,
                                    const cactusrail::TaskRef& aTask,
                                    const std::string& aDetail)>;
@@ -28,11 +29,12 @@
     std::string cell_;
     std::uint64_t incarnation_ = 0;
     cactusrail::Resources capacity_;
-    /** What it says that it has, if it lies. */
+    /** Reported capacity, which may differ from the real one. */
     cactusrail::Resources statedCapacity_;
     std::int64_t checkpointEveryMs_ = 500;
     bool failEverything_ = false;
-    /** Tests set it to see what the entries' own guards hold. */
+    /** Refuses starts beyond the capacity; false to test the entries' guards.
+     */
     bool checksRoom_ = true;
   };
 
@@ -44,8 +46,11 @@
 
   Facts& Options() { return facts_; }
 
-  /** Ends what is over by now. Runs before anything else that the worker does,
-   * so that a worker that was frozen ends its tasks before it hears a word. */
+  /**
+   * Ends tasks that have finished or whose lease has expired. Must run before
+   * any other operation, so that a worker that was frozen ends such tasks
+   * before it processes a command.
+   */
   void Advance(std::int64_t aNow)
   {
     for (auto task = running_.begin(); task != running_.end();) {
@@ -107,7 +112,7 @@
     return used;
   }
 
-  /** The tasks in work; for tests that compare with the truth. */
+  /** Returns the running tasks, for comparison with reports in tests. */
   std::vector<cactusrail::TaskRef> Running() const
   {
     std::vector<cactusrail::TaskRef> refs;
@@ -137,7 +142,7 @@
     if (aOrigin.workerIncarnation_ != facts_.incarnation_) {
       return "The worker was started again since.";
     }
-    // An owner that lost its cell unaware must not command any more.
+    // Refuses commands of an owner that has lost its cell without noticing.
     if (aOrigin.cellEpoch_ < cellEpoch_) {
       return "Another entry owns the cell now.";
     }
@@ -168,8 +173,8 @@
     if (aCommand.until_ <= aNow) {
       return "The start came after its deadline.";
     }
-    // A start that was repeated, or that a slow network delivers after the
-    // task's end, must not begin it anew.
+    // A start command that is repeated, or that a slow network delivers after
+    // the task's end, must not start the task again.
     std::uint64_t& highest = epochs_[ref.taskId_];
     if (ref.epoch_ <= highest) {
       return "This start, or a later one, was taken before.";
@@ -235,8 +240,10 @@
     }
   }
 
-  /** The name carries the epoch, so that a late one of an earlier start can't
-   * pass for one of a later start. */
+  /**
+   * Takes a checkpoint. Its name contains the epoch, so that a late checkpoint
+   * of an earlier start can't be mistaken for one of a later start.
+   */
   static void Checkpoint(const cactusrail::TaskRef& aRef, Task& aTask)
   {
     aTask.checkpoint_ = aRef.taskId_ + "/" + std::to_string(aRef.epoch_) + "/" +
@@ -264,6 +271,6 @@
   std::uint64_t cellEpoch_ = 0;
   RunningTasks running_;
   std::map<cactusrail::TaskRef, cactusrail::EndedTask> ended_;
-  /** The highest epoch of each task that was begun or refused. */
+  /** Highest epoch of each task that was started, refused or stopped. */
   std::map<std::string, std::uint64_t> epochs_;
 };
