--- a/Tests/Measure/Measure.cxx
+++ b/Tests/Measure/Measure.cxx
@@ -254,12 +254,14 @@
   double seconds = 180;
   std::vector<std::string> policies;
   options::options_description known("cactusrail-measure");
-  known.add_options()("help", "says this")(
+  known.add_options()("help", "prints this help")(
     "quick", "checks hard invariants only, for CI")(
-    "seeds", options::value(&seeds), "sessions of each policy")(
-    "first-seed", options::value(&firstSeed), "seeds count up from it")(
-    "seconds", options::value(&seconds), "length of a session, virtual")(
-    "threads", options::value(&threads), "sessions at a time")(
+    "seeds", options::value(&seeds), "number of sessions of each policy")(
+    "first-seed", options::value(&firstSeed), "first of the consecutive seeds")(
+    "seconds",
+    options::value(&seconds),
+    "length of a session in virtual seconds")(
+    "threads", options::value(&threads), "number of concurrent sessions")(
     "policy", options::value(&policies), "only these policies");
   options::variables_map given;
   try {
--- a/Tests/Process/BadInputTest.cxx
+++ b/Tests/Process/BadInputTest.cxx
@@ -115,13 +115,13 @@
                 bad.name_,
                 caller.Received().c_str());
       cr_assert(bench.SendAndWait("entry1").status_ == 200,
-                "A caller was harmed by: %s",
+                "A valid request failed after: %s",
                 bad.name_);
     }
   }
   const std::size_t after = bench["entry1"].ResidentKilobytes();
   cr_assert(after < before + kGrowthKilobytes,
-            "grew from %zu to %zu kB",
+            "The memory grew from %zu to %zu kB",
             before,
             after);
   bench.Settle("malformed-http", "entry1");
@@ -178,7 +178,7 @@
   const std::size_t first = caller.Received().find("served first ");
   const std::size_t second = caller.Received().find("served second ");
   const std::size_t third = caller.Received().find("served third ");
-  cr_assert(first < second && second < third, "Answers crossed.");
+  cr_assert(first < second && second < third, "The answers are out of order.");
 }
 
 // Guards against a crash when callers repeatedly disconnect while a request is
@@ -224,7 +224,7 @@
     ++broken;
     const CallRecord call = bench.SendAndWait("entry1");
     cr_assert(call.status_ == 200,
-              "Work was harmed by a frame with: %s: %d %s %s",
+              "A valid request failed after a frame with: %s: %d %s %s",
               name.c_str(),
               call.status_,
               call.body_.c_str(),
--- a/Tests/Process/Bench.cxx
+++ b/Tests/Process/Bench.cxx
@@ -246,7 +246,7 @@
   };
   const std::size_t before = reloads();
   (*this)[aName].Signal(SIGHUP);
-  WaitUntil([&] { return reloads() > before; }, aName + " to take its keys");
+  WaitUntil([&] { return reloads() > before; }, aName + " to apply its keys");
 }
 
 Child&
@@ -472,10 +472,10 @@
       return job.over_;
     },
     [&job, &aJob] {
-      return "job " + aJob + " to be over; it says " + ToJson(job);
+      return "job " + aJob + " to end; its state is " + ToJson(job);
     });
   cr_assert(job.completed_ == job.tasks_,
-            "Of %u tasks of job %s %u completed.",
+            "Of the %u tasks of job %s, %u completed.",
             job.tasks_,
             aJob.c_str(),
             job.completed_);
@@ -629,8 +629,10 @@
   std::cerr << TallyText(aTestName, tally) << " explain-doubtful=" << doubtful
             << " explain-untrue=" << untrue << std::endl;
   cr_assert(tally.doubled_ == 0, "A request ran twice.");
-  cr_assert(tally.falseNotRun_ == 0, "A false 'did not run'.");
-  cr_assert(tally.wrongBody_ == 0, "An answer was another's or not whole.");
-  cr_assert(untrue == 0, "Explain was untrue.");
+  cr_assert(tally.falseNotRun_ == 0,
+            "A request that ran was reported as 'did not run'.");
+  cr_assert(tally.wrongBody_ == 0,
+            "An answer belonged to another request or was incomplete.");
+  cr_assert(untrue == 0, "An explanation contradicts the runs.");
   return tally;
 }
--- a/Tests/Process/BurstTest.cxx
+++ b/Tests/Process/BurstTest.cxx
@@ -30,8 +30,8 @@
   bench.WaitForCalls();
   const Tally tally = bench.Settle("burst", "entry2");
   cr_assert(tally.unanswered_ == 0 && tally.mayHaveRun_ == 0,
-            "%zu requests were cut off, %zu in doubt",
+            "%zu requests were not answered, %zu have an unknown outcome",
             tally.unanswered_,
             tally.mayHaveRun_);
-  cr_assert(tally.notRun_ == 0, "%zu were turned away", tally.notRun_);
+  cr_assert(tally.notRun_ == 0, "%zu requests were refused", tally.notRun_);
 }
--- a/Tests/Process/Child.cxx
+++ b/Tests/Process/Child.cxx
@@ -34,7 +34,7 @@
   wake.start(kWake);
   while (!aCondition()) {
     cr_assert(cactusrail::ReadMonotonicClock() < deadline,
-              "Waited in vain for: %s",
+              "Timed out while waiting for: %s",
               aWhat().c_str());
     QCoreApplication::processEvents(QEventLoop::WaitForMoreEvents);
   }
@@ -95,7 +95,8 @@
       return word.substr(start.size());
     }
   }
-  cr_assert_fail("No such value in the ready line of %s", name_.c_str());
+  cr_assert_fail("The ready line of %s lacks the requested value",
+                 name_.c_str());
   return {};
 }
 
--- a/Tests/Process/ConfigurationTest.cxx
+++ b/Tests/Process/ConfigurationTest.cxx
@@ -204,7 +204,7 @@
              bench["entry2"].Log().find("configuration-regression") !=
                std::string::npos;
     },
-    "both entries to notice answers from the past");
+    "both entries to detect stale answers");
   cr_assert(Holds(bench, "entry1", 2) && Holds(bench, "entry2", 2));
   bench.SetFault("none");
   bench.SetFault("restore");
--- a/Tests/Process/ExplainTest.cxx
+++ b/Tests/Process/ExplainTest.cxx
@@ -55,7 +55,7 @@
       [&] {
         return bench.Explain(entry, call.requestId_).size() == known.size();
       },
-      std::string(entry) + " to know all steps");
+      std::string(entry) + " to report all steps");
   }
   cr_assert(bench.Explain("entry2", "entry9-zz-0-1-1").empty());
   cr_assert(bench.Explain("entry2", "nonsense").empty());
@@ -110,7 +110,7 @@
     [&] {
       return Bench::Conclude(bench.Explain("entry2", id)) == Verdict::Ran;
     },
-    "the side to tell that it ran");
+    "the side to report that the request ran");
   bench["side1"].Signal(SIGTERM);
   cr_assert(bench["side1"].WaitForEnd() == 0);
   const auto steps = bench.Explain("entry2", id);
--- a/Tests/Process/FailureTest.cxx
+++ b/Tests/Process/FailureTest.cxx
@@ -56,7 +56,8 @@
   const Tally tally = bench.Settle("side-killed", "entry1");
   cr_assert(tally.unanswered_ == 0);
   cr_assert(CountVerdict(bench, calls, "ran") >= 2);
-  cr_assert(tally.mayHaveRun_ >= 2, "Those at the upstream are in doubt.");
+  cr_assert(tally.mayHaveRun_ >= 2,
+            "Requests at the upstream must have an unknown outcome.");
 }
 
 // Guards against duplicate runs when an entry's host dies with requests in
@@ -240,7 +241,7 @@
   bench["entry1"].Signal(SIGCONT);
   bench.WaitForCalls();
   cr_assert(bench["upstream-side1"].Lines("ran ").size() == before,
-            "The upstream that has left got new work.");
+            "The upstream that has left received a new request.");
   cr_assert(CountVerdict(bench, calls, "ran") == calls.size());
   bench.Settle("entry-frozen", "entry1");
 }
@@ -293,7 +294,7 @@
     cr_assert(CountVerdict(bench, checks, "ran") == checks.size());
     bench.SetFault("none");
     WaitUntil([&] { return bench.SendAndWait("entry1").verdictText_ == "ran"; },
-              "payouts to be taken again");
+              "payouts to be accepted again");
   }
   bench.Settle("table-down", "entry1");
 }
--- a/Tests/Process/SecurityTest.cxx
+++ b/Tests/Process/SecurityTest.cxx
@@ -139,7 +139,7 @@
     [&] {
       return CounterOf(bench, "entry1", "unauthentic_datagrams_total") > 10;
     },
-    "the strangers' heartbeats to be counted");
+    "the unauthenticated heartbeats to be counted");
   const auto sides = bench.AskOperators("entry1", "/v1/sides");
   const std::string& table = std::get<HttpReply>(sides).body_;
   cr_assert(table.find("foreign") == std::string::npos);
@@ -182,7 +182,7 @@
   stranger.write(frame.data(), static_cast<qint64>(frame.size()));
   WaitUntil(
     [&] { return stranger.state() == QAbstractSocket::UnconnectedState; },
-    "the side to cut the stranger off");
+    "the side to close the unauthenticated link");
   cr_assert(stranger.bytesAvailable() == 0);
   const auto page =
     bench.Ask("GET", "http://" + bench["side1"].Value("announce") + "/metrics");
--- a/Tests/Process/StopTest.cxx
+++ b/Tests/Process/StopTest.cxx
@@ -62,10 +62,10 @@
   bench.WaitForCalls();
   const Tally tally = bench.Settle("stop-entry", "entry2");
   cr_assert(tally.unanswered_ == 0 && tally.mayHaveRun_ == 0,
-            "%zu requests were cut off, %zu in doubt",
+            "%zu requests were not answered, %zu have an unknown outcome",
             tally.unanswered_,
             tally.mayHaveRun_);
-  cr_assert(tally.notRun_ == 0, "%zu were turned away", tally.notRun_);
+  cr_assert(tally.notRun_ == 0, "%zu requests were refused", tally.notRun_);
 }
 
 // Guards against refused connections during a stop. A balancer polls readiness
@@ -99,16 +99,16 @@
       }
       return heard == 2 || !bench["entry1"].Running();
     },
-    "the balancer to hear twice");
+    "the balancer to receive two negative answers");
   cr_assert(heard == 2, "The entry ended before.");
   bench.WaitForCalls();
   cr_assert(bench["entry1"].WaitForEnd() == 0);
   const Tally tally = bench.Settle("stop-notice", "entry2");
   cr_assert(tally.unanswered_ == 0 && tally.mayHaveRun_ == 0,
-            "%zu requests were cut off, %zu in doubt",
+            "%zu requests were not answered, %zu have an unknown outcome",
             tally.unanswered_,
             tally.mayHaveRun_);
-  cr_assert(tally.notRun_ == 0, "%zu were turned away", tally.notRun_);
+  cr_assert(tally.notRun_ == 0, "%zu requests were refused", tally.notRun_);
 }
 
 // Guards against lost requests when a side is stopped while its upstream serves
@@ -164,7 +164,7 @@
   bench.WaitForCalls();
   const Tally tally = bench.Settle("stop-side", "entry1");
   cr_assert(tally.unanswered_ == 0 && tally.mayHaveRun_ == 0,
-            "%zu requests were cut off, %zu in doubt",
+            "%zu requests were not answered, %zu have an unknown outcome",
             tally.unanswered_,
             tally.mayHaveRun_);
 }
@@ -234,7 +234,7 @@
             << " cut=" << cut << std::endl;
   cr_assert(connected < tried, "The stop was over before it was tried.");
   cr_assert(connected > 0);
-  cr_assert(cut == 0, "%zu connections were cut off", cut);
+  cr_assert(cut == 0, "%zu connections were reset", cut);
   cr_assert(answered == connected);
 }
 
@@ -258,7 +258,7 @@
             std::string::npos);
   bench.WaitForCalls();
   cr_assert(bench.Call(hanging).verdictText_ == "may have run",
-            "told '%s' with status %d",
+            "The verdict was '%s' with status %d",
             bench.Call(hanging).verdictText_.c_str(),
             bench.Call(hanging).status_);
 }
@@ -275,7 +275,7 @@
     bench[name].Signal(SIGTERM);
     WaitUntil(
       [&] { return bench[name].Log().find("stopping") != std::string::npos; },
-      "the first signal to be heard");
+      "the first signal to be handled");
     bench[name].Signal(SIGTERM);
     cr_assert(bench[name].WaitForEnd() == 1);
     cr_assert(bench[name].Log().find("stopped-at-once") != std::string::npos);
--- a/Tests/StandIns/UpstreamStandIn.cxx
+++ b/Tests/StandIns/UpstreamStandIn.cxx
@@ -244,7 +244,7 @@
     "port", options::value<std::uint16_t>()->default_value(0))(
     "announce",
     options::value<std::string>()->default_value(""),
-    "IP:PORT of the side's announce address; empty to stay unannounced")(
+    "IP:PORT of the side's announce address; empty to disable announcements")(
     "service", options::value<std::string>()->default_value("demo"))(
     "slots", options::value<unsigned>()->default_value(8));
   const auto values = ParseStandInOptions(argc, argv, known);
@@ -259,7 +259,8 @@
   facts.incarnation_ = cactusrail::ReadWallClock();
   Upstream upstream(facts.slots_);
   if (!upstream.Listen(facts.address_, (*values)["port"].as<std::uint16_t>())) {
-    std::cerr << "The address can't be listened on.\n";
+    std::cerr << "Listening on the address failed; use --listen and --port of "
+                 "a free address.\n";
     return 1;
   }
   facts.port_ = upstream.Port();
--- a/Tests/StandIns/WorkerStandIn.cxx
+++ b/Tests/StandIns/WorkerStandIn.cxx
@@ -221,7 +221,7 @@
     "accelerators", options::value<std::int64_t>()->default_value(0))(
     "stated-milli-cpus",
     options::value<std::int64_t>()->default_value(-1),
-    "what it says that it has, if it lies")(
+    "reported capacity, if it differs from the real one")(
     "checkpoint-ms", options::value<std::int64_t>()->default_value(500));
   const auto values = ParseStandInOptions(argc, argv, known);
   if (!values.has_value()) {
--- a/Tests/StandIns/WorkerTasks.h
+++ b/Tests/StandIns/WorkerTasks.h
@@ -171,19 +171,19 @@
       return {};
     }
     if (aCommand.until_ <= aNow) {
-      return "The start came after its deadline.";
+      return "The start command arrived after its deadline.";
     }
     // A start command that is repeated, or that a slow network delivers after
     // the task's end, must not start the task again.
     std::uint64_t& highest = epochs_[ref.taskId_];
     if (ref.epoch_ <= highest) {
-      return "This start, or a later one, was taken before.";
+      return "This start, or a later one, was already processed.";
     }
     highest = ref.epoch_;
     if (facts_.checksRoom_ &&
         !aCommand.resources_.FitsIn(facts_.capacity_, Used())) {
       ended_[ref] = { ref, cactusrail::EndResult::NeverStarted, {} };
-      return "There is no room.";
+      return "The task exceeds the free capacity of the worker.";
     }
     Task task;
     task.until_ = aCommand.until_;
