--- a/Tests/Measure/Measure.cxx
+++ b/Tests/Measure/Measure.cxx
@@ -257,11 +257,13 @@
   known.add_options()("help", "prints this help")(
     "quick", "checks hard invariants only, for CI")(
     "seeds", options::value(&seeds), "number of sessions of each policy")(
-    "first-seed", options::value(&firstSeed), "first of the consecutive seeds")(
+    "first-seed",
+    options::value(&firstSeed),
+    "first seed; further seeds count up from it")(
     "seconds",
     options::value(&seconds),
     "length of a session in virtual seconds")(
-    "threads", options::value(&threads), "number of concurrent sessions")(
+    "threads", options::value(&threads), "sessions that run at a time")(
     "policy", options::value(&policies), "only these policies");
   options::variables_map given;
   try {
--- a/Tests/Process/Bench.cxx
+++ b/Tests/Process/Bench.cxx
@@ -472,7 +472,7 @@
       return job.over_;
     },
     [&job, &aJob] {
-      return "job " + aJob + " to end; its state is " + ToJson(job);
+      return "job " + aJob + " to be over; its state is " + ToJson(job);
     });
   cr_assert(job.completed_ == job.tasks_,
             "Of the %u tasks of job %s, %u completed.",
@@ -629,8 +629,7 @@
   std::cerr << TallyText(aTestName, tally) << " explain-doubtful=" << doubtful
             << " explain-untrue=" << untrue << std::endl;
   cr_assert(tally.doubled_ == 0, "A request ran twice.");
-  cr_assert(tally.falseNotRun_ == 0,
-            "A request that ran was reported as 'did not run'.");
+  cr_assert(tally.falseNotRun_ == 0, "A verdict 'did not run' was false.");
   cr_assert(tally.wrongBody_ == 0,
             "An answer belonged to another request or was incomplete.");
   cr_assert(untrue == 0, "An explanation contradicts the runs.");
--- a/Tests/StandIns/WorkerTasks.h
+++ b/Tests/StandIns/WorkerTasks.h
@@ -183,7 +183,7 @@
     if (facts_.checksRoom_ &&
         !aCommand.resources_.FitsIn(facts_.capacity_, Used())) {
       ended_[ref] = { ref, cactusrail::EndResult::NeverStarted, {} };
-      return "The task exceeds the free capacity of the worker.";
+      return "The worker has no free capacity for the task.";
     }
     Task task;
     task.until_ = aCommand.until_;
