--- a/Tests/EventLoop.h
+++ b/Tests/EventLoop.h
@@ -10,17 +10,18 @@
 namespace cactusrail {
 
 /**
- * Runs the event loop until aHolds returns true; returns false if that does not
- * happen within aMost.
+ * Runs the event loop until aCondition returns true; returns false if that does
+ * not happen within aMost.
  */
 inline bool
-WaitInLoop(const std::function<bool()>& aHolds, Millis aMost = Millis(30000))
+WaitInLoop(const std::function<bool()>& aCondition,
+           Millis aMost = Millis(30000))
 {
   const Instant until = ReadMonotonicClock() + aMost;
-  while (!aHolds() && ReadMonotonicClock() < until) {
+  while (!aCondition() && ReadMonotonicClock() < until) {
     QCoreApplication::processEvents(QEventLoop::WaitForMoreEvents, 20);
   }
-  return aHolds();
+  return aCondition();
 }
 
 }
--- a/Tests/Measure/Policies.cxx
+++ b/Tests/Measure/Policies.cxx
@@ -50,7 +50,7 @@
     view.sent_ = 0;
   }
 
-  void OnSilent(std::size_t aEntry, std::size_t aRunner) override
+  void OnHeartbeatTimeout(std::size_t aEntry, std::size_t aRunner) override
   {
     views_[aEntry][aRunner].up_ = false;
   }
@@ -115,9 +115,9 @@
 
   bool Usable(std::size_t aEntry,
               std::size_t aRunner,
-              std::span<const Router::Runner> aNot) const
+              std::span<const Router::Runner> aExcluded) const
   {
-    return views_[aEntry][aRunner].up_ && !Contains(aNot, aRunner);
+    return views_[aEntry][aRunner].up_ && !Contains(aExcluded, aRunner);
   }
 
   double LoadOf(std::size_t aEntry, std::size_t aRunner) const
@@ -145,12 +145,12 @@
   using Baseline::Baseline;
 
   std::optional<std::size_t> Route(std::size_t aEntry,
-                                   std::span<const Router::Runner> aNot,
+                                   std::span<const Router::Runner> aExcluded,
                                    Instant) override
   {
     std::optional<std::size_t> any;
     for (std::size_t runner = 0; runner < deployment_.workers_; ++runner) {
-      if (!Usable(aEntry, runner, aNot)) {
+      if (!Usable(aEntry, runner, aExcluded)) {
         continue;
       }
       any = runner;
@@ -175,12 +175,12 @@
   using Baseline::Baseline;
 
   std::optional<std::size_t> Route(std::size_t aEntry,
-                                   std::span<const Router::Runner> aNot,
+                                   std::span<const Router::Runner> aExcluded,
                                    Instant) override
   {
     std::optional<std::size_t> best;
     for (std::size_t runner = 0; runner < deployment_.workers_; ++runner) {
-      if (Usable(aEntry, runner, aNot) &&
+      if (Usable(aEntry, runner, aExcluded) &&
           (!best.has_value() ||
            LoadOf(aEntry, runner) < LoadOf(aEntry, *best))) {
         best = runner;
@@ -211,12 +211,12 @@
   using Baseline::Baseline;
 
   std::optional<std::size_t> Route(std::size_t aEntry,
-                                   std::span<const Router::Runner> aNot,
+                                   std::span<const Router::Runner> aExcluded,
                                    Instant) override
   {
     std::vector<std::size_t> usable;
     for (std::size_t runner = 0; runner < deployment_.workers_; ++runner) {
-      if (Usable(aEntry, runner, aNot)) {
+      if (Usable(aEntry, runner, aExcluded)) {
         usable.push_back(runner);
       }
     }
@@ -278,11 +278,11 @@
   }
 
   std::optional<std::size_t> Route(std::size_t aEntry,
-                                   std::span<const Router::Runner> aNot,
+                                   std::span<const Router::Runner> aExcluded,
                                    Instant aNow) override
   {
     std::vector<Router::Runner> excluded;
-    for (const Router::Runner runner : aNot) {
+    for (const Router::Runner runner : aExcluded) {
       if (known_[aEntry][runner].has_value()) {
         excluded.push_back(*known_[aEntry][runner]);
       }
@@ -331,7 +331,7 @@
     routers_[aEntry].OnReport(*known, aReport, aNow);
   }
 
-  void OnSilent(std::size_t aEntry, std::size_t aRunner) override
+  void OnHeartbeatTimeout(std::size_t aEntry, std::size_t aRunner) override
   {
     routers_[aEntry].Remove(*known_[aEntry][aRunner]);
     known_[aEntry][aRunner].reset();
@@ -443,20 +443,20 @@
 public:
   Oracle(const Deployment& aDeployment, std::uint64_t aSeed, World& aWorld)
     : Engine(aDeployment, aSeed)
-    , truth_(aWorld.HiddenTruth())
+    , hiddenState_(aWorld.HiddenState())
     , scenario_(aWorld.HiddenScenario())
   {
   }
 
   std::optional<std::size_t> Route(std::size_t aEntry,
-                                   std::span<const Router::Runner> aNot,
+                                   std::span<const Router::Runner> aExcluded,
                                    Instant) override
   {
     std::optional<std::size_t> best;
     double bestMicros = std::numeric_limits<double>::max();
     for (std::size_t runner = 0; runner < known_[aEntry].size(); ++runner) {
-      const double micros = truth_.ExpectedMicros(aEntry, runner);
-      if (truth_.IsUp(runner) && !Contains(aNot, runner) &&
+      const double micros = hiddenState_.ExpectedMicros(aEntry, runner);
+      if (hiddenState_.IsUp(runner) && !Contains(aExcluded, runner) &&
           known_[aEntry][runner].has_value() && micros < bestMicros) {
         best = runner;
         bestMicros = micros;
@@ -476,7 +476,7 @@
                                   Instant aNow) override
   {
     for (const HiddenProgram& program : scenario_.programs_) {
-      const double hurt = truth_.Hurt(program.name_);
+      const double hurt = hiddenState_.UrgentSlowdown(program.name_);
       model_.Teach(victim_,
                    model_.Number(program.name_),
                    hurt * LoadShape(0),
@@ -485,7 +485,7 @@
     }
     std::vector<PressedWorker> workers(aWorkers.begin(), aWorkers.end());
     for (std::size_t index = 0; index < workers.size(); ++index) {
-      workers[index].urgentLoad_ = truth_.Load(index);
+      workers[index].urgentLoad_ = hiddenState_.Load(index);
       workers[index].latencyMicros_ = 0;
       workers[index].samples_ = 0;
     }
@@ -493,7 +493,7 @@
   }
 
 private:
-  Truth& truth_;
+  WorldState& hiddenState_;
   const Scenario& scenario_;
 };
 
--- a/Tests/Measure/Policy.h
+++ b/Tests/Measure/Policy.h
@@ -46,9 +46,10 @@
 public:
   virtual ~Policy() = default;
 
-  virtual std::optional<std::size_t> Route(std::size_t aEntry,
-                                           std::span<const Router::Runner> aNot,
-                                           Instant aNow) = 0;
+  virtual std::optional<std::size_t> Route(
+    std::size_t aEntry,
+    std::span<const Router::Runner> aExcluded,
+    Instant aNow) = 0;
   virtual void OnSent(std::size_t, std::size_t, Instant) {}
   virtual void OnAnswer(std::size_t, std::size_t, Micros, Instant) {}
   virtual void OnRefused(std::size_t, std::size_t, Instant) {}
@@ -56,7 +57,7 @@
                            std::size_t aRunner,
                            const RunnerReport& aReport,
                            Instant aNow) = 0;
-  virtual void OnSilent(std::size_t aEntry, std::size_t aRunner) = 0;
+  virtual void OnHeartbeatTimeout(std::size_t aEntry, std::size_t aRunner) = 0;
   /**
    * Handles the arrival of a request at the entry; adds to the retry budget.
    */
--- a/Tests/Measure/Scenario.cxx
+++ b/Tests/Measure/Scenario.cxx
@@ -25,7 +25,7 @@
  * order.
  */
 double
-DrawHurt(Random& aRandom, std::size_t aIndex)
+DrawUrgentSlowdown(Random& aRandom, std::size_t aIndex)
 {
   if (aIndex < 5) {
     return Between(aRandom, 0.0, 0.006);
@@ -53,12 +53,12 @@
   program.runSeconds_ = Between(aRandom, 6, 30);
   program.declaredRunMs_ = static_cast<std::uint64_t>(
     program.runSeconds_ * 1000 * std::exp(Between(aRandom, -1.2, 1.2)));
-  program.hurt_ = DrawHurt(aRandom, aIndex);
+  program.urgentSlowdown_ = DrawUrgentSlowdown(aRandom, aIndex);
   program.waveFactor_ = aIndex >= 5 ? Between(aRandom, 1.5, 3) : 1;
   program.waveOn_ = Between(aRandom, 5, 15);
   program.waveOff_ = Between(aRandom, 20, 40);
   program.wavePhase_ = Between(aRandom, 0, 40);
-  program.dragged_ = Between(aRandom, 0, 0.1);
+  program.slowdownByRunner_ = Between(aRandom, 0, 0.1);
   program.checkpointSeconds_ = aIndex % 4 == 3 ? 0 : Between(aRandom, 0.5, 2.5);
   program.payout_ = aIndex % 3 == 1;
   program.impossible_ = aIndex == kPrograms - 1;
--- a/Tests/Measure/Scenario.h
+++ b/Tests/Measure/Scenario.h
@@ -47,14 +47,14 @@
   double runSeconds_ = 10;
   std::uint64_t declaredRunMs_ = 0;
   /** Slowdown that one task adds to urgent work on a fully loaded runner. */
-  double hurt_ = 0;
+  double urgentSlowdown_ = 0;
   /** Factor by which a noisy wave multiplies the slowdown. */
   double waveFactor_ = 1;
   double waveOn_ = 8;
   double waveOff_ = 30;
   double wavePhase_ = 0;
   /** Slowdown that a loaded runner adds to a task of the program. */
-  double dragged_ = 0;
+  double slowdownByRunner_ = 0;
   /**
    * Duration of a checkpoint in seconds; 0 if checkpoints are not supported.
    */
--- a/Tests/Measure/World.cxx
+++ b/Tests/Measure/World.cxx
@@ -17,7 +17,7 @@
 constexpr double kCrossing = 0.001;
 constexpr double kRequestTimeout = 2.0;
 constexpr std::size_t kAttempts = 3;
-constexpr double kSilence = 2.0;
+constexpr double kHeartbeatTimeoutSeconds = 2.0;
 constexpr std::size_t kTenants = 4;
 constexpr std::size_t kWaitingPerTenant = 8;
 constexpr double kUrgentTaskEvery = 5.0;
@@ -28,9 +28,9 @@
 constexpr std::size_t kCrashed = 6;
 constexpr double kCrashFrom = 90;
 constexpr double kCrashTo = 115;
-constexpr std::size_t kBad = 3;
-constexpr double kBadFrom = 50;
-constexpr double kBadTo = 80;
+constexpr std::size_t kFaulty = 3;
+constexpr double kFaultyFrom = 50;
+constexpr double kFaultyTo = 80;
 constexpr std::size_t kSlow = 8;
 constexpr double kSlowFrom = 130;
 constexpr double kSlowTo = 145;
@@ -71,7 +71,7 @@
   double base_ = 0;
   std::size_t entry_ = 0;
   std::size_t runner_ = 0;
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   bool refused_ = false;
   std::vector<Router::Runner> tried_;
 };
@@ -83,24 +83,24 @@
   std::size_t tenant_ = 0;
   bool urgent_ = false;
   double left_ = 0;
-  double safe_ = 0;
+  double leftAtCheckpoint_ = 0;
   double throttle_ = 1;
   double arrivedAt_ = 0;
   double startedAt_ = 0;
   double startsAt_ = 0;
   /** Time at which the current move ends, or 0 if none is in flight. */
-  double movesAt_ = 0;
+  double moveEndsAt_ = 0;
   std::size_t tries_ = 0;
 };
 
 struct Host
 {
   bool up_ = true;
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   std::size_t busy_ = 0;
   std::deque<std::size_t> queue_;
   std::vector<Task> tasks_;
-  double hurt_ = 0;
+  double urgentSlowdown_ = 0;
   double contention_ = 1;
   /** Counters of the second that the next report covers. */
   double latencySum_ = 0;
@@ -108,7 +108,7 @@
   double busySum_ = 0;
   /** Latest report that arrived. */
   WorkerReport known_;
-  std::vector<double> heardAt_;
+  std::vector<double> lastHeartbeatAt_;
 };
 
 Instant
@@ -119,7 +119,7 @@
 
 }
 
-class World::Private : public Truth
+class World::Private : public WorldState
 {
 public:
   Private(const Deployment& aDeployment, const SessionOptions& aOptions);
@@ -128,7 +128,7 @@
   bool IsUp(std::size_t aRunner) override { return hosts_[aRunner].up_; }
   double Slowdown(std::size_t aWorker) override;
   double Load(std::size_t aWorker) override;
-  double Hurt(const std::string& aProgram) override;
+  double UrgentSlowdown(const std::string& aProgram) override;
 
   void Push(double aAt,
             EventKind aKind,
@@ -198,7 +198,7 @@
   , held_(kTenants, 0)
 {
   for (Host& host : hosts_) {
-    host.heardAt_.assign(deployment_.entries_, 0);
+    host.lastHeartbeatAt_.assign(deployment_.entries_, 0);
   }
 }
 
@@ -229,7 +229,8 @@
 {
   const Host& host = hosts_[aWorker];
   const bool slow = aWorker == kSlow && now_ >= kSlowFrom && now_ < kSlowTo;
-  return host.contention_ * (1 + host.hurt_ * LoadShape(Load(aWorker))) *
+  return host.contention_ *
+         (1 + host.urgentSlowdown_ * LoadShape(Load(aWorker))) *
          (slow ? kSlowFactor : 1) / scenario_.hostSpeed_[aWorker];
 }
 
@@ -245,11 +246,11 @@
 }
 
 double
-World::Private::Hurt(const std::string& aProgram)
+World::Private::UrgentSlowdown(const std::string& aProgram)
 {
   for (const HiddenProgram& program : scenario_.programs_) {
     if (program.name_ == aProgram) {
-      return program.hurt_ * WaveAt(program, now_);
+      return program.urgentSlowdown_ * WaveAt(program, now_);
     }
   }
   return 0;
@@ -324,7 +325,7 @@
   Request& request = requests_[aRequest];
   Host& host = hosts_[request.runner_];
   ++host.busy_;
-  request.life_ = host.life_;
+  request.incarnation_ = host.incarnation_;
   const double took = request.base_ * Slowdown(request.runner_);
   host.latencySum_ += took;
   ++host.served_;
@@ -336,7 +337,7 @@
 {
   Request& request = requests_[aRequest];
   Host& host = hosts_[request.runner_];
-  if (request.life_ != host.life_) {
+  if (request.incarnation_ != host.incarnation_) {
     request.refused_ = true;
   } else {
     --host.busy_;
@@ -439,7 +440,7 @@
   double cores = static_cast<double>(aHost.busy_) / deployment_.slots_ *
                  static_cast<double>(deployment_.runnerReserve_.milliCpus_) /
                  1000;
-  aHost.hurt_ = 0;
+  aHost.urgentSlowdown_ = 0;
   for (const Task& task : aHost.tasks_) {
     const double declared =
       static_cast<double>(task.facts_.declared_.milliCpus_) / 1000;
@@ -449,7 +450,8 @@
     }
     const HiddenProgram& program = scenario_.programs_[task.program_];
     cores += declared * program.cpuFactor_ * task.throttle_;
-    aHost.hurt_ += program.hurt_ * WaveAt(program, now_) * task.throttle_;
+    aHost.urgentSlowdown_ +=
+      program.urgentSlowdown_ * WaveAt(program, now_) * task.throttle_;
   }
   const double capacity =
     static_cast<double>(deployment_.capacity_.milliCpus_) / 1000;
@@ -465,13 +467,13 @@
       const double cores =
         static_cast<double>(aTask.facts_.declared_.milliCpus_) / 1000 *
         program.cpuFactor_;
-      outcome_.batchWork_ -= cores * (aTask.safe_ - aTask.left_);
+      outcome_.batchWork_ -= cores * (aTask.leftAtCheckpoint_ - aTask.left_);
     }
-    aTask.left_ = aTask.safe_;
+    aTask.left_ = aTask.leftAtCheckpoint_;
   }
-  aTask.safe_ = aTask.left_;
+  aTask.leftAtCheckpoint_ = aTask.left_;
   aTask.throttle_ = 1;
-  aTask.movesAt_ = 0;
+  aTask.moveEndsAt_ = 0;
   waiting_[aTask.tenant_].push_front(std::move(aTask));
 }
 
@@ -481,7 +483,7 @@
   Host& host = hosts_[aHost];
   const double load = Load(aHost);
   host.busySum_ += static_cast<double>(host.busy_);
-  const bool bad = aHost == kBad && now_ >= kBadFrom && now_ < kBadTo;
+  const bool bad = aHost == kFaulty && now_ >= kFaultyFrom && now_ < kFaultyTo;
   double memory = 0;
   std::vector<Task> kept;
   for (std::size_t index = 0; index < host.tasks_.size(); ++index) {
@@ -498,7 +500,7 @@
       continue;
     }
     const HiddenProgram& program = scenario_.programs_[task.program_];
-    if ((bad && task.startedAt_ >= kBadFrom) ||
+    if ((bad && task.startedAt_ >= kFaultyFrom) ||
         (program.impossible_ && now_ - task.startsAt_ > 1)) {
       outcome_.wastedStarts_ += Measured() ? 1 : 0;
       aPolicy.OnTaskEnd(aHost, task.facts_, TaskEnd::Failed, At(now_));
@@ -508,7 +510,7 @@
       }
       continue;
     }
-    double drag = 1 + program.dragged_ * load;
+    double drag = 1 + program.slowdownByRunner_ * load;
     for (const Task& other : host.tasks_) {
       if (!other.urgent_ && &other != &task) {
         drag +=
@@ -526,7 +528,7 @@
       aPolicy.OnTaskEnd(aHost, task.facts_, TaskEnd::Finished, At(now_));
       continue;
     }
-    if (task.movesAt_ > 0 && task.movesAt_ <= now_) {
+    if (task.moveEndsAt_ > 0 && task.moveEndsAt_ <= now_) {
       outcome_.moves_ += Measured() ? 1 : 0;
       aPolicy.OnTaskEnd(aHost, task.facts_, TaskEnd::Stopped, At(now_));
       Requeue(task, true);
@@ -556,7 +558,7 @@
   Host& host = hosts_[kCrashed];
   const bool up = now_ < kCrashFrom || now_ >= kCrashTo;
   if (host.up_ && !up) {
-    ++host.life_;
+    ++host.incarnation_;
     host.busy_ = 0;
     for (const std::size_t request : host.queue_) {
       requests_[request].refused_ = true;
@@ -577,10 +579,11 @@
   host.up_ = up;
   for (std::size_t runner = 0; runner < hosts_.size(); ++runner) {
     for (std::size_t entry = 0; entry < deployment_.entries_; ++entry) {
-      double& heard = hosts_[runner].heardAt_[entry];
-      if (heard > 0 && now_ - heard > kSilence) {
-        heard = 0;
-        aPolicy.OnSilent(entry, runner);
+      double& lastHeartbeatAt = hosts_[runner].lastHeartbeatAt_[entry];
+      if (lastHeartbeatAt > 0 &&
+          now_ - lastHeartbeatAt > kHeartbeatTimeoutSeconds) {
+        lastHeartbeatAt = 0;
+        aPolicy.OnHeartbeatTimeout(entry, runner);
       }
     }
   }
@@ -599,7 +602,7 @@
       task.facts_.tenant_ = "tenant" + std::to_string(tenant);
       task.facts_.program_ = program.name_;
       task.facts_.declared_ = program.declared_;
-      task.left_ = task.safe_ = program.runSeconds_;
+      task.left_ = task.leftAtCheckpoint_ = program.runSeconds_;
       waiting_[tenant].push_back(std::move(task));
     }
   }
@@ -721,13 +724,13 @@
       running.declared_ = task.facts_.declared_;
       running.throttle_ = task.throttle_;
       running.urgent_ = task.urgent_;
-      running.leaving_ = task.movesAt_ > 0;
+      running.leaving_ = task.moveEndsAt_ > 0;
       running.startedAt_ = At(task.startedAt_);
       if (!task.urgent_) {
         const HiddenProgram& program = scenario_.programs_[task.program_];
         running.payout_ = program.payout_;
         running.canCheckpoint_ = program.checkpointSeconds_ > 0;
-        running.checkpointed_ = task.left_ == task.safe_;
+        running.checkpointed_ = task.left_ == task.leftAtCheckpoint_;
       }
       aTasks[index].push_back(std::move(running));
     }
@@ -761,7 +764,7 @@
     Host& host = hosts_[step.worker_];
     Task& task = host.tasks_[step.task_];
     const HiddenProgram& program = scenario_.programs_[task.program_];
-    if (task.urgent_ || task.movesAt_ > 0) {
+    if (task.urgent_ || task.moveEndsAt_ > 0) {
       continue;
     }
     if (step.kind_ == ReactionKind::Evict) {
@@ -769,7 +772,7 @@
     } else if (step.kind_ != ReactionKind::Move) {
       task.throttle_ = step.throttle_;
     } else if (program.checkpointSeconds_ > 0) {
-      task.movesAt_ = now_ + program.checkpointSeconds_;
+      task.moveEndsAt_ = now_ + program.checkpointSeconds_;
     }
   }
   std::sort(evicted.begin(), evicted.end());
@@ -778,8 +781,8 @@
     Host& host = hosts_[worker];
     const Task task = host.tasks_[index];
     host.tasks_.erase(host.tasks_.begin() + static_cast<std::ptrdiff_t>(index));
-    const bool payout =
-      scenario_.programs_[task.program_].payout_ && task.left_ != task.safe_;
+    const bool payout = scenario_.programs_[task.program_].payout_ &&
+                        task.left_ != task.leftAtCheckpoint_;
     outcome_.evictions_ += Measured() ? 1 : 0;
     outcome_.payoutEvictions_ += Measured() && payout ? 1 : 0;
     aPolicy.OnTaskEnd(worker, task.facts_, TaskEnd::Stopped, At(now_));
@@ -815,7 +818,7 @@
     case EventKind::Heartbeat:
       return OnHeartbeat(aEvent.subject_);
     case EventKind::HeartbeatAt:
-      hosts_[aEvent.subject_].heardAt_[aEvent.entry_] = now_;
+      hosts_[aEvent.subject_].lastHeartbeatAt_[aEvent.entry_] = now_;
       return aPolicy.OnHeartbeat(
         aEvent.entry_, aEvent.subject_, aEvent.report_, At(now_));
     case EventKind::Report:
@@ -840,8 +843,8 @@
 
 World::~World() = default;
 
-Truth&
-World::HiddenTruth()
+WorldState&
+World::HiddenState()
 {
   return *private_;
 }
--- a/Tests/Measure/World.h
+++ b/Tests/Measure/World.h
@@ -47,10 +47,10 @@
 };
 
 /** Gives the oracle access to the hidden state of the world. */
-class Truth
+class WorldState
 {
 public:
-  virtual ~Truth() = default;
+  virtual ~WorldState() = default;
   /**
    * Returns the expected time until the runner would answer one more request,
    * in microseconds.
@@ -64,7 +64,7 @@
    * Returns the slowdown that a task of the program currently adds on a loaded
    * runner.
    */
-  virtual double Hurt(const std::string& aProgram) = 0;
+  virtual double UrgentSlowdown(const std::string& aProgram) = 0;
 };
 
 /**
@@ -78,7 +78,7 @@
   World(const Deployment& aDeployment, const SessionOptions& aOptions);
   ~World();
 
-  Truth& HiddenTruth();
+  WorldState& HiddenState();
   const Scenario& HiddenScenario() const;
   Outcome Run(Policy& aPolicy);
 
--- a/Tests/Process/BadInputTest.cxx
+++ b/Tests/Process/BadInputTest.cxx
@@ -124,7 +124,7 @@
             "The memory grew from %zu to %zu kB",
             before,
             after);
-  bench.Settle("malformed-http", "entry1");
+  bench.VerifyOutcomes("malformed-http", "entry1");
 }
 
 // Guards against slow clients that hold connections open with incomplete
@@ -158,7 +158,7 @@
     slow->WaitFor("408");
     slow->WaitForClose();
   }
-  bench.Settle("slow-requests", "entry1");
+  bench.VerifyOutcomes("slow-requests", "entry1");
 }
 
 // Guards against swapped answers on a pipelined connection. A balancer
@@ -195,15 +195,15 @@
     atWork.Send(GoodRequest(mark, "work=200"));
     WaitUntil([&bench, &mark] { return bench.RunsOf(mark) == 1; },
               "the upstream to begin");
-    atWork.HangUp();
+    atWork.Abort();
     RawCaller atOnce(address);
     atOnce.Send(GoodRequest("atonce", "work=1"));
-    atOnce.HangUp();
+    atOnce.Abort();
     cr_assert(bench.SendAndWait("entry1").status_ == 200);
   }
   cr_assert(bench["entry1"].Running());
   cr_assert(bench["side1"].Running());
-  bench.Settle("hang-ups", "entry1");
+  bench.VerifyOutcomes("hang-ups", "entry1");
 }
 
 // Guards against invalid frames on a side's port, from a process of another
@@ -232,7 +232,7 @@
   }
   RawCaller halfFrame(link);
   halfFrame.Send(EncodeFrame(CancelMessage{ "attempt" }).substr(0, 11));
-  halfFrame.HangUp();
+  halfFrame.Abort();
   const std::string counters =
     "http://" + bench["side1"].Value("announce") + "/v1/counters";
   const std::string expected = "\"badLinks\":" + std::to_string(broken);
@@ -243,7 +243,7 @@
     },
     "the side to count " + expected);
   cr_assert(bench["side1"].ResidentKilobytes() < before + kGrowthKilobytes);
-  bench.Settle("bad-frames", "entry1");
+  bench.VerifyOutcomes("bad-frames", "entry1");
 }
 
 // Guards against invalid datagrams at an entry and at a side. The test obtains
@@ -299,5 +299,5 @@
     },
     "the side to count " + expected);
   cr_assert(bench.SendAndWait("entry1").status_ == 200);
-  bench.Settle("bad-datagrams", "entry1");
+  bench.VerifyOutcomes("bad-datagrams", "entry1");
 }
--- a/Tests/Process/Bench.cxx
+++ b/Tests/Process/Bench.cxx
@@ -52,7 +52,7 @@
  * answered it since its start. Such a change was not made.
  */
 bool
-IsTooEarly(const Result<HttpReply>& aPut)
+IsRefusedBeforeTableAnswer(const Result<HttpReply>& aPut)
 {
   const auto* reply = std::get_if<HttpReply>(&aPut);
   return reply != nullptr && reply->status_ == 503 &&
@@ -75,7 +75,7 @@
 {
   std::unique_ptr<Child>& place = children_[aName];
   if (place != nullptr) {
-    former_.push_back(std::move(place));
+    replaced_.push_back(std::move(place));
   }
   place = std::make_unique<Child>(aName, aProgram, aArguments);
   return *place;
@@ -280,7 +280,7 @@
       put = Ask("PUT",
                 "http://" + (*this)[aEntry].Value("operators") + "/v1/config",
                 ConfigText(1));
-      return !IsTooEarly(put);
+      return !IsRefusedBeforeTableAnswer(put);
     },
     aEntry + " to have read the table service");
   const auto* reply = std::get_if<HttpReply>(&put);
@@ -528,7 +528,7 @@
   for (const auto& [name, child] : children_) {
     add(*child);
   }
-  for (const std::unique_ptr<Child>& child : former_) {
+  for (const std::unique_ptr<Child>& child : replaced_) {
     add(*child);
   }
   return runs;
@@ -602,13 +602,13 @@
 }
 
 Tally
-Bench::Settle(const std::string& aTestName, const std::string& aEntry)
+Bench::VerifyOutcomes(const std::string& aTestName, const std::string& aEntry)
 {
   WaitForCalls();
   const auto runs = Runs();
   const auto runsById = Runs(true);
   const Tally tally = Compare(calls_, runs, runsById);
-  std::cerr << TroubledText(calls_, runs, FirstSignal());
+  std::cerr << FailedCallsText(calls_, runs, FirstSignal());
   std::size_t doubtful = 0;
   std::size_t untrue = 0;
   for (const CallRecord& call : calls_) {
--- a/Tests/Process/Bench.h
+++ b/Tests/Process/Bench.h
@@ -140,7 +140,7 @@
    * twice, no "did not run" was false, no body belonged to another request, and
    * the entry's explanations are consistent with the verdicts.
    */
-  Tally Settle(const std::string& aTestName, const std::string& aEntry);
+  Tally VerifyOutcomes(const std::string& aTestName, const std::string& aEntry);
 
 private:
   /** Returns the time of the first signal, or the clock's zero if none. */
@@ -158,7 +158,7 @@
   cactusrail::HttpCaller caller_;
   std::map<std::string, std::unique_ptr<Child>> children_;
   /** Replaced processes; their output is still evaluated. */
-  std::vector<std::unique_ptr<Child>> former_;
+  std::vector<std::unique_ptr<Child>> replaced_;
   std::vector<CallRecord> calls_;
   std::size_t nextMark_ = 1;
 };
--- a/Tests/Process/BurstTest.cxx
+++ b/Tests/Process/BurstTest.cxx
@@ -28,7 +28,7 @@
     bench.Send("entry1", CallPlan{ .query_ = "work=20" });
   }
   bench.WaitForCalls();
-  const Tally tally = bench.Settle("burst", "entry2");
+  const Tally tally = bench.VerifyOutcomes("burst", "entry2");
   cr_assert(tally.unanswered_ == 0 && tally.mayHaveRun_ == 0,
             "%zu requests were not answered, %zu have an unknown outcome",
             tally.unanswered_,
--- a/Tests/Process/Child.cxx
+++ b/Tests/Process/Child.cxx
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds kBound{ 30 };
+constexpr std::chrono::seconds kTimeout{ 30 };
 constexpr std::chrono::milliseconds kWake{ 20 };
 
 }
@@ -29,7 +29,7 @@
 WaitUntil(const std::function<bool()>& aCondition,
           const std::function<std::string()>& aWhat)
 {
-  const auto deadline = cactusrail::ReadMonotonicClock() + kBound;
+  const auto deadline = cactusrail::ReadMonotonicClock() + kTimeout;
   QTimer wake;
   wake.start(kWake);
   while (!aCondition()) {
--- a/Tests/Process/ConfigurationTest.cxx
+++ b/Tests/Process/ConfigurationTest.cxx
@@ -43,7 +43,7 @@
  * none.
  */
 std::uint64_t
-Held(Bench& aBench, const std::string& aEntry)
+VersionInForce(Bench& aBench, const std::string& aEntry)
 {
   const auto got = aBench.AskOperators(aEntry, "/v1/config");
   const auto* reply = std::get_if<HttpReply>(&got);
@@ -55,7 +55,7 @@
 bool
 Holds(Bench& aBench, const std::string& aEntry, std::uint64_t aVersion)
 {
-  return Held(aBench, aEntry) == aVersion;
+  return VersionInForce(aBench, aEntry) == aVersion;
 }
 
 /**
--- a/Tests/Process/ExplainTest.cxx
+++ b/Tests/Process/ExplainTest.cxx
@@ -86,7 +86,7 @@
               steps.size());
     cr_assert(IsSortedWithoutRepeats(steps));
   }
-  bench.Settle("explain-entry-replaced", "entry2");
+  bench.VerifyOutcomes("explain-entry-replaced", "entry2");
 }
 
 // Guards against the loss of a request's steps when its side is stopped in a
--- a/Tests/Process/FailureTest.cxx
+++ b/Tests/Process/FailureTest.cxx
@@ -53,7 +53,7 @@
   WaitUntil([&] { return bench.Runs().size() >= 4; }, "four runs to begin");
   bench["side1"].Kill();
   bench.WaitForCalls();
-  const Tally tally = bench.Settle("side-killed", "entry1");
+  const Tally tally = bench.VerifyOutcomes("side-killed", "entry1");
   cr_assert(tally.unanswered_ == 0);
   cr_assert(CountVerdict(bench, calls, "ran") >= 2);
   cr_assert(tally.mayHaveRun_ >= 2,
@@ -90,7 +90,7 @@
   }
   bench.WaitForCalls();
   cr_assert(retried > 0, "The entry was killed too late.");
-  const Tally tally = bench.Settle("entry-killed", "entry2");
+  const Tally tally = bench.VerifyOutcomes("entry-killed", "entry2");
   cr_assert(tally.doubled_ == 0);
 }
 
@@ -127,7 +127,7 @@
       "the restarted side to get work");
   }
   bench.WaitForCalls();
-  const Tally tally = bench.Settle("side-restarted", "entry1");
+  const Tally tally = bench.VerifyOutcomes("side-restarted", "entry1");
   cr_assert(tally.unanswered_ == 0);
 }
 
@@ -157,7 +157,7 @@
     }
   }
   bench.WaitForCalls();
-  bench.Settle("entry-and-side-killed", "entry2");
+  bench.VerifyOutcomes("entry-and-side-killed", "entry2");
 }
 
 // Guards against false verdicts when an upstream's process dies while it serves
@@ -181,15 +181,15 @@
   bench["upstream-side1"].Kill();
   pumpUntil(60);
   bench.StartUpstream("side1");
-  const Child& anew = bench["upstream-side1"];
+  const Child& restarted = bench["upstream-side1"];
   WaitUntil(
     [&] {
       traffic.Pump("entry1", 10);
-      return anew.Lines("ran ").size() >= 5;
+      return restarted.Lines("ran ").size() >= 5;
     },
     "the new upstream to get work");
   bench.WaitForCalls();
-  const Tally tally = bench.Settle("upstream-killed", "entry1");
+  const Tally tally = bench.VerifyOutcomes("upstream-killed", "entry1");
   cr_assert(tally.unanswered_ == 0);
 }
 
@@ -219,7 +219,7 @@
   bench.WaitForSide("entry1", "side1");
   SendMany(bench, "entry2", 12, plan);
   bench.WaitForCalls();
-  const Tally tally = bench.Settle("side-frozen", "entry1");
+  const Tally tally = bench.VerifyOutcomes("side-frozen", "entry1");
   cr_assert(tally.unanswered_ == 0);
 }
 
@@ -243,7 +243,7 @@
   cr_assert(bench["upstream-side1"].Lines("ran ").size() == before,
             "The upstream that has left received a new request.");
   cr_assert(CountVerdict(bench, calls, "ran") == calls.size());
-  bench.Settle("entry-frozen", "entry1");
+  bench.VerifyOutcomes("entry-frozen", "entry1");
 }
 
 // Guards against false or late verdicts when an upstream's process is frozen
@@ -272,7 +272,7 @@
   cr_assert(
     bench.SendAndWait("entry1", CallPlan{ .service_ = "brief" }).verdictText_ ==
     "ran");
-  const Tally tally = bench.Settle("upstream-frozen", "entry1");
+  const Tally tally = bench.VerifyOutcomes("upstream-frozen", "entry1");
   cr_assert(tally.unanswered_ == 0);
 }
 
@@ -296,7 +296,7 @@
     WaitUntil([&] { return bench.SendAndWait("entry1").verdictText_ == "ran"; },
               "payouts to be accepted again");
   }
-  bench.Settle("table-down", "entry1");
+  bench.VerifyOutcomes("table-down", "entry1");
 }
 
 // Guards against false verdicts when the table service applies writes of claims
@@ -326,7 +326,7 @@
     bench.Send("entry1", plan);
   }
   bench.WaitForCalls();
-  bench.Settle("table-loses-answers", "entry1");
+  bench.VerifyOutcomes("table-loses-answers", "entry1");
 }
 
 // Guards against false verdicts under combined faults: a side dies while the
@@ -356,7 +356,8 @@
   bench.SetFault("none");
   pumpUntil(80);
   bench.WaitForCalls();
-  const Tally tally = bench.Settle("side-killed-table-stalled", "entry2");
+  const Tally tally =
+    bench.VerifyOutcomes("side-killed-table-stalled", "entry2");
   cr_assert(tally.unanswered_ == 0);
 }
 
@@ -413,6 +414,6 @@
   std::cerr << "goodbye-to-last-start: rounds=" << milliseconds.size()
             << " p50=" << milliseconds[milliseconds.size() / 2]
             << " ms max=" << milliseconds.back() << " ms" << std::endl;
-  const Tally tally = bench.Settle("leaving-upstream", "entry1");
+  const Tally tally = bench.VerifyOutcomes("leaving-upstream", "entry1");
   cr_assert(tally.unanswered_ == 0 && tally.mayHaveRun_ == 0);
 }
--- a/Tests/Process/Ledger.cxx
+++ b/Tests/Process/Ledger.cxx
@@ -48,9 +48,9 @@
 }
 
 std::string
-TroubledText(const std::vector<CallRecord>& aCalls,
-             const std::map<std::string, std::size_t>& aRuns,
-             cactusrail::Instant aSince)
+FailedCallsText(const std::vector<CallRecord>& aCalls,
+                const std::map<std::string, std::size_t>& aRuns,
+                cactusrail::Instant aSince)
 {
   const auto millis = [](cactusrail::Micros aTime) {
     return std::to_string(aTime.count() / 1000) + " ms";
--- a/Tests/Process/Ledger.h
+++ b/Tests/Process/Ledger.h
@@ -58,9 +58,9 @@
  * distinguish causes that the counts don't.
  */
 std::string
-TroubledText(const std::vector<CallRecord>& aCalls,
-             const std::map<std::string, std::size_t>& aRuns,
-             cactusrail::Instant aSince);
+FailedCallsText(const std::vector<CallRecord>& aCalls,
+                const std::map<std::string, std::size_t>& aRuns,
+                cactusrail::Instant aSince);
 
 /** Returns one line with the counts for the log of the test run. */
 std::string
--- a/Tests/Process/RawCaller.cxx
+++ b/Tests/Process/RawCaller.cxx
@@ -47,7 +47,7 @@
 }
 
 void
-RawCaller::HangUp()
+RawCaller::Abort()
 {
   socket_.abort();
 }
--- a/Tests/Process/RawCaller.h
+++ b/Tests/Process/RawCaller.h
@@ -26,7 +26,7 @@
   bool Closed() const;
 
   /** Aborts the connection immediately. */
-  void HangUp();
+  void Abort();
 
 private:
   QTcpSocket socket_;
--- a/Tests/Process/SecurityTest.cxx
+++ b/Tests/Process/SecurityTest.cxx
@@ -24,7 +24,7 @@
 
 /** Sets the keys that this test uses as an operator. */
 void
-HoldKeys(const std::string& aKeys)
+SetOperatorKeys(const std::string& aKeys)
 {
   KeyHolder::OfProcess().Replace(std::get<KeyRing>(KeyRing::Parse(aKeys)));
 }
@@ -56,7 +56,7 @@
 Test(Security, KeysChangeWithoutCuttingACall)
 {
   Bench bench;
-  HoldKeys(kOld);
+  SetOperatorKeys(kOld);
   bench.StartPlatform();
   bench.StartEntry("entry1", KeySettings(kOld));
   bench.StartSide("side1", KeySettings(kOld));
@@ -86,7 +86,7 @@
     cr_assert(bench.Call(call).status_ == 200);
   }
   cr_assert(StatusOf(bench.AskOperators("entry1", "/v1/config")) == 401);
-  HoldKeys(kNew);
+  SetOperatorKeys(kNew);
   cr_assert(StatusOf(bench.AskOperators("entry1", "/v1/config")) == 200);
   bench.WaitForSide("entry1", "side1");
   // Explain opens a new link to the side, under the new key.
@@ -101,7 +101,7 @@
 Test(Security, EntriesWithKeysExplainForEachOther)
 {
   Bench bench;
-  HoldKeys(kOld);
+  SetOperatorKeys(kOld);
   bench.StartPlatform();
   bench.StartEntry("entry1", KeySettings(kOld));
   bench.StartEntry("entry2", KeySettings(kOld));
@@ -124,7 +124,7 @@
 Test(Security, AStrangersSideAndQuestionsAreRefusedAndCounted)
 {
   Bench bench;
-  HoldKeys(kOld);
+  SetOperatorKeys(kOld);
   bench.StartPlatform();
   bench.StartEntry("entry1", KeySettings(kOld));
   bench.StartSide("foreign", KeySettings(kNew));
@@ -145,7 +145,7 @@
   cr_assert(table.find("foreign") == std::string::npos);
   cr_assert(table.find("open") == std::string::npos);
 
-  HoldKeys("");
+  SetOperatorKeys("");
   for (const char* page : { "/v1/config",
                             "/v1/sides",
                             "/metrics",
@@ -154,7 +154,7 @@
     cr_assert(StatusOf(bench.AskOperators("entry1", page)) == 401, "%s", page);
   }
   cr_assert(StatusOf(bench.AskOperators("entry1", "/healthz")) == 200);
-  HoldKeys(kOld);
+  SetOperatorKeys(kOld);
   cr_assert(CounterOf(bench, "entry1", "unauthentic_operators_total") == 5);
 }
 
@@ -164,7 +164,7 @@
 Test(Security, AStrangersLinkIsCutOffAndCounted)
 {
   Bench bench;
-  HoldKeys(kOld);
+  SetOperatorKeys(kOld);
   bench.StartPlatform();
   bench.StartEntry("entry1", KeySettings(kOld));
   bench.StartSide("side1", KeySettings(kOld));
--- a/Tests/Process/StopTest.cxx
+++ b/Tests/Process/StopTest.cxx
@@ -60,7 +60,7 @@
   cr_assert(bench["entry1"].Log().find("stopped in-flight-left=0") !=
             std::string::npos);
   bench.WaitForCalls();
-  const Tally tally = bench.Settle("stop-entry", "entry2");
+  const Tally tally = bench.VerifyOutcomes("stop-entry", "entry2");
   cr_assert(tally.unanswered_ == 0 && tally.mayHaveRun_ == 0,
             "%zu requests were not answered, %zu have an unknown outcome",
             tally.unanswered_,
@@ -87,7 +87,7 @@
   constexpr Millis kProbe{ 1000 };
   Instant nextProbe = ReadMonotonicClock() + kProbe;
   bench["entry1"].Signal(SIGTERM);
-  int heard = 0;
+  int negativeAnswers = 0;
   WaitUntil(
     [&] {
       traffic.Pump("entry1", 4);
@@ -95,15 +95,15 @@
         nextProbe += kProbe;
         const auto ready = bench.AskOperators("entry1", "/readyz");
         const auto* reply = std::get_if<HttpReply>(&ready);
-        heard += reply != nullptr && reply->status_ == 503 ? 1 : 0;
+        negativeAnswers += reply != nullptr && reply->status_ == 503 ? 1 : 0;
       }
-      return heard == 2 || !bench["entry1"].Running();
+      return negativeAnswers == 2 || !bench["entry1"].Running();
     },
     "the balancer to receive two negative answers");
-  cr_assert(heard == 2, "The entry ended before.");
+  cr_assert(negativeAnswers == 2, "The entry ended before.");
   bench.WaitForCalls();
   cr_assert(bench["entry1"].WaitForEnd() == 0);
-  const Tally tally = bench.Settle("stop-notice", "entry2");
+  const Tally tally = bench.VerifyOutcomes("stop-notice", "entry2");
   cr_assert(tally.unanswered_ == 0 && tally.mayHaveRun_ == 0,
             "%zu requests were not answered, %zu have an unknown outcome",
             tally.unanswered_,
@@ -162,7 +162,7 @@
   cr_assert(bench["side1"].Log().find("stopped in-flight-left=no") !=
             std::string::npos);
   bench.WaitForCalls();
-  const Tally tally = bench.Settle("stop-side", "entry1");
+  const Tally tally = bench.VerifyOutcomes("stop-side", "entry1");
   cr_assert(tally.unanswered_ == 0 && tally.mayHaveRun_ == 0,
             "%zu requests were not answered, %zu have an unknown outcome",
             tally.unanswered_,
--- a/Tests/Process/UpstreamFailureTest.cxx
+++ b/Tests/Process/UpstreamFailureTest.cxx
@@ -38,7 +38,7 @@
                 bench.RunsOf(onReused.mark_));
     }
   }
-  bench.Settle("closed-without-answer", "entry1");
+  bench.VerifyOutcomes("closed-without-answer", "entry1");
 }
 
 // Guards against truncated answers that pass as whole. The upstream's
@@ -56,7 +56,7 @@
     cr_assert(call.verdictText_ == "may have run");
     cr_assert(bench.RunsOf(call.mark_) == 1);
   }
-  bench.Settle("truncated", "entry1");
+  bench.VerifyOutcomes("truncated", "entry1");
 }
 
 // Guards against unused slots. Qt's client opens no more than six connections
@@ -76,5 +76,5 @@
     "eight requests at once in the upstream");
   bench.WaitForCalls();
   cr_assert(bench["upstream-side1"].Lines("overloaded").empty());
-  bench.Settle("eight-slots", "entry1");
+  bench.VerifyOutcomes("eight-slots", "entry1");
 }
--- a/Tests/StandIns/UpstreamStandIn.cxx
+++ b/Tests/StandIns/UpstreamStandIn.cxx
@@ -51,7 +51,7 @@
 }
 
 /** One received request and the connection to answer on. */
-struct Arrival
+struct ReceivedRequest
 {
   QPointer<QTcpSocket> socket_;
   std::string target_;
@@ -66,18 +66,18 @@
 };
 
 /** Parses a complete request, the bounds of which are already known. */
-Arrival
-ReadArrival(QTcpSocket* aSocket,
-            const std::string& aBytes,
-            const cactusrail::HttpRequestBounds& aBounds)
+ReceivedRequest
+ParseRequest(QTcpSocket* aSocket,
+             const std::string& aBytes,
+             const cactusrail::HttpRequestBounds& aBounds)
 {
-  Arrival arrival;
-  arrival.socket_ = aSocket;
-  arrival.body_ = aBytes.substr(aBounds.headBytes_, aBounds.bodyBytes_);
+  ReceivedRequest request;
+  request.socket_ = aSocket;
+  request.body_ = aBytes.substr(aBounds.headBytes_, aBounds.bodyBytes_);
   std::istringstream head(aBytes.substr(0, aBounds.headBytes_));
   std::string method;
   std::string line;
-  head >> method >> arrival.target_;
+  head >> method >> request.target_;
   std::getline(head, line);
   while (std::getline(head, line)) {
     const std::size_t colon = line.find(": ");
@@ -86,10 +86,10 @@
     }
     const std::size_t length = line.size() - colon - 3;
     const QString name = QString::fromStdString(line.substr(0, colon));
-    arrival.headers_[name.toLower().toStdString()] =
+    request.headers_[name.toLower().toStdString()] =
       line.substr(colon + 2, length);
   }
-  return arrival;
+  return request;
 }
 
 class Upstream
@@ -106,9 +106,9 @@
 
 private:
   void OnConnection(QTcpSocket* aSocket);
-  void OnBytes(QTcpSocket* aSocket, std::string& aHeld);
-  void Handle(Arrival aArrival);
-  void Finish(const Arrival& aArrival);
+  void OnBytes(QTcpSocket* aSocket, std::string& aBuffer);
+  void Handle(ReceivedRequest aRequest);
+  void Finish(const ReceivedRequest& aRequest);
 
   unsigned slots_;
   unsigned busy_ = 0;
@@ -149,34 +149,34 @@
 }
 
 void
-Upstream::OnBytes(QTcpSocket* aSocket, std::string& aHeld)
+Upstream::OnBytes(QTcpSocket* aSocket, std::string& aBuffer)
 {
-  aHeld += aSocket->readAll().toStdString();
-  const std::size_t end = aHeld.find("\r\n\r\n");
+  aBuffer += aSocket->readAll().toStdString();
+  const std::size_t end = aBuffer.find("\r\n\r\n");
   if (end == std::string::npos) {
     return;
   }
   const auto read = cactusrail::ReadHttpBounds(
-    std::string_view(aHeld).substr(0, end + std::size("\r\n\r\n") - 1));
+    std::string_view(aBuffer).substr(0, end + std::size("\r\n\r\n") - 1));
   const auto* bounds = std::get_if<cactusrail::HttpRequestBounds>(&read);
   if (bounds == nullptr) {
     aSocket->abort();
     return;
   }
   const std::size_t whole = bounds->headBytes_ + bounds->bodyBytes_;
-  if (aHeld.size() < whole) {
+  if (aBuffer.size() < whole) {
     return;
   }
-  Arrival arrival = ReadArrival(aSocket, aHeld, *bounds);
-  aHeld.erase(0, whole);
-  Handle(std::move(arrival));
+  ReceivedRequest request = ParseRequest(aSocket, aBuffer, *bounds);
+  aBuffer.erase(0, whole);
+  Handle(std::move(request));
 }
 
 void
-Upstream::Handle(Arrival aArrival)
+Upstream::Handle(ReceivedRequest aRequest)
 {
-  std::cout << "ran " << aArrival.headers_["x-request-id"] << " "
-            << aArrival.headers_["x-mark"] << std::endl;
+  std::cout << "ran " << aRequest.headers_["x-request-id"] << " "
+            << aRequest.headers_["x-mark"] << std::endl;
   ++busy_;
   if (busy_ > slots_) {
     std::cout << "overloaded " << busy_ << std::endl;
@@ -185,31 +185,31 @@
     mostBusy_ = busy_;
     std::cout << "busy " << busy_ << std::endl;
   }
-  if (aArrival.Query("fail") == "hang") {
+  if (aRequest.Query("fail") == "hang") {
     return;
   }
-  const std::string work = aArrival.Query("work");
+  const std::string work = aRequest.Query("work");
   if (work.empty()) {
-    Finish(aArrival);
+    Finish(aRequest);
     return;
   }
   QTimer::singleShot(
-    std::stoi(work), &server_, [this, aArrival] { Finish(aArrival); });
+    std::stoi(work), &server_, [this, aRequest] { Finish(aRequest); });
 }
 
 void
-Upstream::Finish(const Arrival& aArrival)
+Upstream::Finish(const ReceivedRequest& aRequest)
 {
   --busy_;
-  if (aArrival.socket_.isNull()) {
+  if (aRequest.socket_.isNull()) {
     return;
   }
-  const auto mark = aArrival.headers_.find("x-mark");
+  const auto mark = aRequest.headers_.find("x-mark");
   const std::string served =
     "served " +
-    (mark == aArrival.headers_.end() ? std::string("-") : mark->second) + " " +
-    aArrival.headers_.at("x-request-id") + " " + aArrival.body_ + " end\n";
-  const std::string fail = aArrival.Query("fail");
+    (mark == aRequest.headers_.end() ? std::string("-") : mark->second) + " " +
+    aRequest.headers_.at("x-request-id") + " " + aRequest.body_ + " end\n";
+  const std::string fail = aRequest.Query("fail");
   std::string head = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n";
   if (fail == "lengthless") {
     head += "Connection: close\r\n";
@@ -218,16 +218,16 @@
   }
   const std::string whole = head + "\r\n" + served;
   if (fail == "truncate") {
-    aArrival.socket_->write(
+    aRequest.socket_->write(
       whole.data(), static_cast<qint64>(whole.size() - served.size() / 2));
   } else if (fail != "close") {
-    aArrival.socket_->write(whole.data(), static_cast<qint64>(whole.size()));
+    aRequest.socket_->write(whole.data(), static_cast<qint64>(whole.size()));
   }
   if (!fail.empty()) {
-    aArrival.socket_->disconnectFromHost();
+    aRequest.socket_->disconnectFromHost();
   }
   if (ending_ && busy_ == 0) {
-    aArrival.socket_->flush();
+    aRequest.socket_->flush();
     QCoreApplication::quit();
   }
 }
--- a/Tests/StandIns/WorkerStandIn.cxx
+++ b/Tests/StandIns/WorkerStandIn.cxx
@@ -73,7 +73,7 @@
   WorkerTasks tasks_;
   std::string faultMode_ = "none";
   std::uint64_t faultCount_ = 0;
-  bool reportLess_ = false;
+  bool omitsRunningTasks_ = false;
   /** Holds stalled exchanges, so that they are never answered. */
   std::vector<HttpExchange> stalled_;
 };
@@ -95,7 +95,7 @@
   const std::string count = aExchange.Query("count");
   faultCount_ = count.empty() ? ~0ULL : std::stoull(count);
   tasks_.Options().failEverything_ = faultMode_ == "fail-tasks";
-  reportLess_ = faultMode_ == "report-less";
+  omitsRunningTasks_ = faultMode_ == "report-less";
   if (faultMode_ == "none") {
     stalled_.clear();
   }
@@ -109,7 +109,7 @@
     stalled_.push_back(aExchange);
     return;
   }
-  if (reportLess_) {
+  if (omitsRunningTasks_) {
     aReport.running_.clear();
     aReport.used_ = {};
   }
--- a/Tests/StandIns/WorkerTasks.h
+++ b/Tests/StandIns/WorkerTasks.h
@@ -19,9 +19,9 @@
 {
 public:
   /** Called with "started" or "ended" for each actual start or end. */
-  using Truth = std::function<void(const std::string& aEvent,
-                                   const cactusrail::TaskRef& aTask,
-                                   const std::string& aDetail)>;
+  using EventHandler = std::function<void(const std::string& aEvent,
+                                          const cactusrail::TaskRef& aTask,
+                                          const std::string& aDetail)>;
 
   struct Facts
   {
@@ -38,9 +38,9 @@
     bool checksRoom_ = true;
   };
 
-  WorkerTasks(Facts aFacts, Truth aTruth)
+  WorkerTasks(Facts aFacts, EventHandler aOnEvent)
     : facts_(std::move(aFacts))
-    , truth_(std::move(aTruth))
+    , onEvent_(std::move(aOnEvent))
   {
   }
 
@@ -191,7 +191,7 @@
     task.checkpoint_ = aCommand.checkpoint_;
     task.endsAt_ = RunEnd(aCommand, aNow);
     task.nextCheckpoint_ = aNow + facts_.checkpointEveryMs_ * 1000;
-    truth_("started", ref, aCommand.checkpoint_);
+    onEvent_("started", ref, aCommand.checkpoint_);
     running_[ref] = std::move(task);
     return {};
   }
@@ -253,21 +253,21 @@
   RunningTasks::iterator End(RunningTasks::iterator aTask,
                              cactusrail::EndResult aResult)
   {
-    static constexpr const char* kWords[] = {
+    static constexpr const char* kResultNames[] = {
       "completed", "failed", "stopped", "lease-expired", "never-started"
     };
     const cactusrail::TaskRef ref = aTask->first;
     ended_[ref] = { ref, aResult, aTask->second.checkpoint_ };
-    std::string detail = kWords[static_cast<std::size_t>(aResult)];
+    std::string detail = kResultNames[static_cast<std::size_t>(aResult)];
     if (!aTask->second.checkpoint_.empty()) {
       detail += " " + aTask->second.checkpoint_;
     }
-    truth_("ended", ref, detail);
+    onEvent_("ended", ref, detail);
     return running_.erase(aTask);
   }
 
   Facts facts_;
-  Truth truth_;
+  EventHandler onEvent_;
   std::uint64_t cellEpoch_ = 0;
   RunningTasks running_;
   std::map<cactusrail::TaskRef, cactusrail::EndedTask> ended_;
