--- a/Tests/Measure/DecisionBench.cxx
+++ b/Tests/Measure/DecisionBench.cxx
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Numbers of workers: today's size, two sizes in between, the target size. */
+/** Sets the sizes: today's, two in between, the target's. */
 void
 Sizes(benchmark::internal::Benchmark* aBenchmark)
 {
--- a/Tests/Measure/Policies.cxx
+++ b/Tests/Measure/Policies.cxx
@@ -476,11 +476,11 @@
                                   Instant aNow) override
   {
     for (const HiddenProgram& program : scenario_.programs_) {
-      const double hurt = hiddenState_.UrgentSlowdown(program.name_);
+      const double urgentSlowdown = hiddenState_.UrgentSlowdown(program.name_);
       model_.Teach(victim_,
                    model_.Number(program.name_),
-                   hurt * LoadShape(0),
-                   hurt * LoadShape(1),
+                   urgentSlowdown * LoadShape(0),
+                   urgentSlowdown * LoadShape(1),
                    aNow);
     }
     std::vector<PressedWorker> workers(aWorkers.begin(), aWorkers.end());
--- a/Tests/Measure/Scenario.cxx
+++ b/Tests/Measure/Scenario.cxx
@@ -21,8 +21,8 @@
 }
 
 /**
- * Returns the slowdown by a program: quiet, medium and noisy ones in this
- * order.
+ * Draws the slowdown that a program adds to urgent work. Quiet, medium and
+ * noisy programs follow each other in this order.
  */
 double
 DrawUrgentSlowdown(Random& aRandom, std::size_t aIndex)
--- a/Tests/Process/Bench.cxx
+++ b/Tests/Process/Bench.cxx
@@ -629,7 +629,7 @@
   std::cerr << TallyText(aTestName, tally) << " explain-doubtful=" << doubtful
             << " explain-untrue=" << untrue << std::endl;
   cr_assert(tally.doubled_ == 0, "A request ran twice.");
-  cr_assert(tally.falseNotRun_ == 0, "A verdict 'did not run' was false.");
+  cr_assert(tally.falseNotRun_ == 0, "A false 'did not run' was reported.");
   cr_assert(tally.wrongBody_ == 0,
             "An answer belonged to another request or was incomplete.");
   cr_assert(untrue == 0, "An explanation contradicts the runs.");
--- a/Tests/StandIns/UpstreamStandIn.cxx
+++ b/Tests/StandIns/UpstreamStandIn.cxx
@@ -259,8 +259,8 @@
   facts.incarnation_ = cactusrail::ReadWallClock();
   Upstream upstream(facts.slots_);
   if (!upstream.Listen(facts.address_, (*values)["port"].as<std::uint16_t>())) {
-    std::cerr << "Listening on the address failed; use --listen and --port of "
-                 "a free address.\n";
+    std::cerr << "The address is not available. Set --listen and --port to a "
+                 "free one.\n";
     return 1;
   }
   facts.port_ = upstream.Port();
--- a/Tests/StandIns/WorkerTasks.h
+++ b/Tests/StandIns/WorkerTasks.h
@@ -33,8 +33,8 @@
     cactusrail::Resources statedCapacity_;
     std::int64_t checkpointEveryMs_ = 500;
     bool failEverything_ = false;
-    /** Refuses starts beyond the capacity; false to test the entries' guards.
-     */
+    /** Whether starts beyond the capacity are refused. Tests of the entries'
+     * guards disable it. */
     bool checksRoom_ = true;
   };
 
