--- a/Tests/Process/BadInputTest.cxx
+++ b/Tests/Process/BadInputTest.cxx
@@ -253,19 +253,19 @@
   Bench bench;
   bench.StartPlatform();
   bench.StartEntry("entry1");
-  QUdpSocket posing;
-  cr_assert(posing.bind(QHostAddress::LocalHost, 0));
+  QUdpSocket fakeEntry;
+  cr_assert(fakeEntry.bind(QHostAddress::LocalHost, 0));
   bench.StartSide(
-    "side1", "", "127.0.0.1:" + std::to_string(posing.localPort()));
+    "side1", "", "127.0.0.1:" + std::to_string(fakeEntry.localPort()));
   bench.StartUpstream("side1");
   bench.Configure("entry1");
   bench.WaitForSide("entry1", "side1");
-  WaitUntil([&posing] { return posing.hasPendingDatagrams(); },
+  WaitUntil([&fakeEntry] { return fakeEntry.hasPendingDatagrams(); },
             "a heartbeat of the side");
   QHostAddress sideAddress;
   quint16 sidePort = 0;
   char byte = 0;
-  posing.readDatagram(&byte, 1, &sideAddress, &sidePort);
+  fakeEntry.readDatagram(&byte, 1, &sideAddress, &sidePort);
   const std::string membership = bench["entry1"].Value("membership");
   const auto entryPort = static_cast<quint16>(
     std::stoi(membership.substr(membership.rfind(':') + 1)));
@@ -278,9 +278,9 @@
                    EncodeFrame(RecallMessage{ "q", "r" }));
   for (const auto& [name, bytes] : bad) {
     const auto size = static_cast<qint64>(bytes.size());
-    posing.writeDatagram(
+    fakeEntry.writeDatagram(
       bytes.data(), size, QHostAddress::LocalHost, entryPort);
-    posing.writeDatagram(bytes.data(), size, sideAddress, sidePort);
+    fakeEntry.writeDatagram(bytes.data(), size, sideAddress, sidePort);
     ++sent;
   }
   const std::string expected = "\"badDatagrams\":" + std::to_string(sent);
--- a/Tests/Process/Bench.cxx
+++ b/Tests/Process/Bench.cxx
@@ -609,29 +609,30 @@
   const auto runsById = Runs(true);
   const Tally tally = Compare(calls_, runs, runsById);
   std::cerr << FailedCallsText(calls_, runs, FirstSignal());
-  std::size_t doubtful = 0;
-  std::size_t untrue = 0;
+  std::size_t unknownOutcomes = 0;
+  std::size_t contradictions = 0;
   for (const CallRecord& call : calls_) {
     if (call.requestId_.empty()) {
       continue;
     }
     const Verdict verdict = Conclude(Explain(aEntry, call.requestId_));
     const bool ran = runsById.contains(call.requestId_);
-    doubtful += verdict == Verdict::MayHaveRun ? 1 : 0;
+    unknownOutcomes += verdict == Verdict::MayHaveRun ? 1 : 0;
     const bool wrong = (verdict == Verdict::DidNotRun && ran) ||
                        (verdict == Verdict::Ran && !ran);
-    untrue += wrong ? 1 : 0;
+    contradictions += wrong ? 1 : 0;
     if (wrong) {
       std::cerr << "explain of " << call.requestId_ << " says "
                 << VerdictText(verdict) << '\n';
     }
   }
-  std::cerr << TallyText(aTestName, tally) << " explain-doubtful=" << doubtful
-            << " explain-untrue=" << untrue << std::endl;
+  std::cerr << TallyText(aTestName, tally)
+            << " explain-doubtful=" << unknownOutcomes
+            << " explain-untrue=" << contradictions << std::endl;
   cr_assert(tally.doubled_ == 0, "A request ran twice.");
   cr_assert(tally.falseNotRun_ == 0, "A false 'did not run' was reported.");
   cr_assert(tally.wrongBody_ == 0,
             "An answer belonged to another request or was incomplete.");
-  cr_assert(untrue == 0, "An explanation contradicts the runs.");
+  cr_assert(contradictions == 0, "An explanation contradicts the runs.");
   return tally;
 }
--- a/Tests/Process/Child.cxx
+++ b/Tests/Process/Child.cxx
@@ -48,7 +48,7 @@
   QObject::connect(&process_,
                    &QProcess::readyReadStandardOutput,
                    &process_,
-                   [this] { TakeOutput(); });
+                   [this] { ReadOutput(); });
   QObject::connect(
     &process_, &QProcess::readyReadStandardError, &process_, [this] {
       log_ += process_.readAllStandardError().toStdString();
@@ -73,14 +73,14 @@
 }
 
 void
-Child::TakeOutput()
+Child::ReadOutput()
 {
-  partial_ += process_.readAllStandardOutput().toStdString();
-  std::size_t end = partial_.find('\n');
+  partialLine_ += process_.readAllStandardOutput().toStdString();
+  std::size_t end = partialLine_.find('\n');
   while (end != std::string::npos) {
-    lines_.push_back(partial_.substr(0, end));
-    partial_.erase(0, end + 1);
-    end = partial_.find('\n');
+    lines_.push_back(partialLine_.substr(0, end));
+    partialLine_.erase(0, end + 1);
+    end = partialLine_.find('\n');
   }
 }
 
--- a/Tests/Process/Child.h
+++ b/Tests/Process/Child.h
@@ -69,11 +69,11 @@
   std::size_t ResidentKilobytes() const;
 
 private:
-  void TakeOutput();
+  void ReadOutput();
 
   std::string name_;
   QProcess process_;
-  std::string partial_;
+  std::string partialLine_;
   std::vector<std::string> lines_;
   std::string log_;
   cactusrail::Instant signalledAt_;
--- a/Tests/Process/SecurityTest.cxx
+++ b/Tests/Process/SecurityTest.cxx
@@ -70,11 +70,11 @@
     calls.push_back(bench.Send("entry1", plan));
   };
   const std::string join = ",";
-  std::string learnt = kOld + join;
-  learnt += kNew;
+  std::string accepting = kOld + join;
+  accepting += kNew;
   std::string signing = kNew + join;
   signing += kOld;
-  for (const std::string& keys : { learnt, signing, kNew }) {
+  for (const std::string& keys : { accepting, signing, kNew }) {
     callOn();
     bench.ReplaceKeys("entry1", keys);
     callOn();
@@ -192,8 +192,9 @@
   cr_assert(bench.SendAndWait("entry1").status_ == 200);
 }
 
-// Guards against starting with insecure settings. The process must not start,
-// and must report the fault to the script that started it.
+// Guards against a port that is open to the network without keys. A process
+// with such settings must not start, and its exit code must report the error to
+// the script that started it.
 Test(Security, OpenPortsOnTheNetworkAreNotStarted)
 {
   Bench bench;
--- a/Tests/Process/StopTest.cxx
+++ b/Tests/Process/StopTest.cxx
@@ -130,8 +130,8 @@
       return bench.Runs().size() > 30;
     },
     "traffic");
-  // Takes longer than the side's leaving phase. Requests are sent until some of
-  // them are on the side that stops.
+  // These requests take longer than the side's leaving phase. They are sent one
+  // by one until some of them run on the side that stops.
   std::vector<std::size_t> slow;
   const auto onSide = [&] {
     return std::count_if(slow.begin(), slow.end(), [&](std::size_t aIndex) {
--- a/Tests/StandIns/WorkerStandIn.cxx
+++ b/Tests/StandIns/WorkerStandIn.cxx
@@ -7,7 +7,8 @@
 //   lose-answer   apply the command, then never answer
 //   fail-tasks    every task that starts fails at once (no count)
 //   report-less   leave running tasks out of reports (no count)
-// mode=none ends every fault. GET /truth returns the running tasks.
+// mode=none ends every fault. GET /truth returns the complete report, also
+// during a fault.
 
 #include "Connection/HttpCaller.h"
 #include "Connection/HttpFront.h"
