--- a/Tests/Process/Bench.h
+++ b/Tests/Process/Bench.h
@@ -103,8 +103,7 @@
     const std::string& aTarget);
   void SetFault(const std::string& aMode, const std::string& aCount = {});
 
-  /** Creates all jobs concurrently, distributed round-robin over the entries.
-   */
+  /** Creates all jobs concurrently, round-robin over the entries. */
   void CreateJobs(const std::vector<std::string>& aEntries,
                   const std::vector<cactusrail::JobSpec>& aJobs);
 
@@ -138,7 +137,7 @@
   /**
    * Ends a test: prints the counts and asserts that no at-most-once request ran
    * twice, no "did not run" was false, no body belonged to another request, and
-   * the entry's explanations are consistent with the verdicts.
+   * the entry's explanations don't contradict the runs.
    */
   Tally VerifyOutcomes(const std::string& aTestName, const std::string& aEntry);
 
--- a/Tests/Process/ConfigurationTest.cxx
+++ b/Tests/Process/ConfigurationTest.cxx
@@ -188,7 +188,7 @@
 
 // Guards against a rollback when the table service is restored from an old copy
 // or returns stale data. Without a guard every entry would revert to the old
-// configuration although operators were told that the new one is in force.
+// configuration although the new one was reported to operators as in force.
 Test(Configuration, RestoredTableDoesNotRevertIt)
 {
   Bench bench;
