--- a/Tests/EventLoop.h
+++ b/Tests/EventLoop.h
@@ -9,15 +9,19 @@
 
 namespace cactusrail {
 
-/** Turns the event loop until it holds; false if it doesn't within aMost. */
+/**
+ * Runs the event loop until aCondition returns true; returns false if that does
+ * not happen within aMost.
+ */
 inline bool
-WaitInLoop(const std::function<bool()>& aHolds, Millis aMost = Millis(30000))
+WaitInLoop(const std::function<bool()>& aCondition,
+           Millis aMost = Millis(30000))
 {
   const Instant until = ReadMonotonicClock() + aMost;
-  while (!aHolds() && ReadMonotonicClock() < until) {
+  while (!aCondition() && ReadMonotonicClock() < until) {
     QCoreApplication::processEvents(QEventLoop::WaitForMoreEvents, 20);
   }
-  return aHolds();
+  return aCondition();
 }
 
 }
--- a/Tests/Measure/Policy.h
+++ b/Tests/Measure/Policy.h
@@ -20,19 +20,19 @@
   Resources used_;
 };
 
-/** What a worker reports each second; it arrives late. */
+/** A worker's report, made each second and delivered with a delay. */
 struct WorkerReport
 {
   std::size_t worker_ = 0;
   Instant measuredAt_;
-  /** Mean time that requests took on a slot, in microseconds. */
+  /** Mean service time of requests on a slot, in microseconds. */
   double latencyMicros_ = 0;
   double samples_ = 0;
   double load_ = 0;
   std::vector<TaskReport> tasks_;
 };
 
-/** How a task left its worker. */
+/** Reason for which a task left its worker. */
 enum class TaskEnd : std::uint8_t
 {
   Finished,
@@ -40,15 +40,16 @@
   Stopped,
 };
 
-/** What a policy is asked and told; the world calls it in time order. */
+/** Interface of a scheduling policy; the world calls it in time order. */
 class Policy
 {
 public:
   virtual ~Policy() = default;
 
-  virtual std::optional<std::size_t> Route(std::size_t aEntry,
-                                           std::span<const Router::Runner> aNot,
-                                           Instant aNow) = 0;
+  virtual std::optional<std::size_t> Route(
+    std::size_t aEntry,
+    std::span<const Router::Runner> aExcluded,
+    Instant aNow) = 0;
   virtual void OnSent(std::size_t, std::size_t, Instant) {}
   virtual void OnAnswer(std::size_t, std::size_t, Micros, Instant) {}
   virtual void OnRefused(std::size_t, std::size_t, Instant) {}
@@ -56,8 +57,10 @@
                            std::size_t aRunner,
                            const RunnerReport& aReport,
                            Instant aNow) = 0;
-  virtual void OnSilent(std::size_t aEntry, std::size_t aRunner) = 0;
-  /** A request arrived at the entry; pays into the retry budget. */
+  virtual void OnHeartbeatTimeout(std::size_t aEntry, std::size_t aRunner) = 0;
+  /**
+   * Handles the arrival of a request at the entry; adds to the retry budget.
+   */
   virtual void OnRequest(std::size_t, Instant) {}
   virtual bool MayRetry(std::size_t, Instant) { return true; }
 
@@ -67,7 +70,7 @@
     Instant aNow) = 0;
   virtual void OnReport(const WorkerReport&, Instant) {}
   virtual void OnTaskEnd(std::size_t, const TaskFacts&, TaskEnd, Instant) {}
-  /** Whether the program's tasks are parked as impossible. */
+  /** Returns whether the program's tasks are parked because they can't run. */
   virtual bool IsParked(const std::string&) { return false; }
   virtual std::vector<ReactionStep> React(
     std::span<const PressedWorker> aWorkers,
--- a/Tests/Process/BadInputTest.cxx
+++ b/Tests/Process/BadInputTest.cxx
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr const char* kKeyHeader = "Authorization: Bearer bench-key\r\n";
-/** What a process may grow by while it turns bad input away. */
+/** Limit on the growth of a process's memory while it rejects bad input. */
 constexpr std::size_t kGrowthKilobytes = 48U << 10U;
 
 std::string
@@ -22,7 +22,7 @@
          kKeyHeader + "X-Mark: " + aMark + "\r\n\r\n";
 }
 
-/** Frames that no peer of ours sends, by what is wrong with them. */
+/** Returns invalid frames, keyed by a description of the fault. */
 std::vector<std::pair<std::string, std::string>>
 BadFrames()
 {
@@ -56,9 +56,9 @@
 
 }
 
-// A broken client (or a hostile one) sends what is not HTTP, or HTTP that means
-// two things at once. It must get a clear refusal that says "did not run";
-// callers beside it must notice nothing, and the entry must not grow.
+// Guards against malformed or ambiguous HTTP from a broken or hostile client.
+// The entry must refuse it with "did not run"; requests of other callers must
+// not be affected, and the entry's memory must not grow.
 Test(BadInput, MalformedHttpIsRefusedAndOthersUnharmed)
 {
   struct Case
@@ -115,21 +115,22 @@
                 bad.name_,
                 caller.Received().c_str());
       cr_assert(bench.SendAndWait("entry1").status_ == 200,
-                "A caller was harmed by: %s",
+                "A valid request failed after: %s",
                 bad.name_);
     }
   }
   const std::size_t after = bench["entry1"].ResidentKilobytes();
   cr_assert(after < before + kGrowthKilobytes,
-            "grew from %zu to %zu kB",
+            "The memory grew from %zu to %zu kB",
             before,
             after);
-  bench.Settle("malformed-http", "entry1");
+  bench.VerifyOutcomes("malformed-http", "entry1");
 }
 
-// Slow clients hold connections open with half a request each, or one byte now
-// and then. They must be ended with 408 after the time that a request may take,
-// however lively they drip; others are served meanwhile.
+// Guards against slow clients that hold connections open with incomplete
+// requests or by sending single bytes. The entry must answer 408 when the time
+// limit of a request expires, even if bytes keep arriving, and serve other
+// requests meanwhile.
 Test(BadInput, SlowAndHalfSentRequestsTimeOut)
 {
   Bench bench;
@@ -157,12 +158,13 @@
     slow->WaitFor("408");
     slow->WaitForClose();
   }
-  bench.Settle("slow-requests", "entry1");
+  bench.VerifyOutcomes("slow-requests", "entry1");
 }
 
-// A balancer pipelines two requests of two clerks on one connection; the first
-// is slow. The library would send the second one's answer first, and each clerk
-// would read the other's price.
+// Guards against swapped answers on a pipelined connection. A balancer
+// pipelines two callers' requests and the first one is slow; the library would
+// send the second answer first, so that each caller would receive the other's
+// answer.
 Test(BadInput, PipelinedAnswersKeepTheirOrder)
 {
   Bench bench;
@@ -176,12 +178,12 @@
   const std::size_t first = caller.Received().find("served first ");
   const std::size_t second = caller.Received().find("served second ");
   const std::size_t third = caller.Received().find("served third ");
-  cr_assert(first < second && second < third, "Answers crossed.");
+  cr_assert(first < second && second < third, "The answers are out of order.");
 }
 
-// An impatient client hangs up while its request is at the upstream, or right
-// after sending it, again and again. Writing such an answer once killed the
-// process, and with it every other caller's connection.
+// Guards against a crash when callers repeatedly disconnect while a request is
+// at the upstream or right after sending it. Writing such an answer once
+// crashed the process and broke the connections of all other callers.
 Test(BadInput, EntryOutlivesCallersThatHangUp)
 {
   Bench bench;
@@ -193,20 +195,21 @@
     atWork.Send(GoodRequest(mark, "work=200"));
     WaitUntil([&bench, &mark] { return bench.RunsOf(mark) == 1; },
               "the upstream to begin");
-    atWork.HangUp();
+    atWork.Abort();
     RawCaller atOnce(address);
     atOnce.Send(GoodRequest("atonce", "work=1"));
-    atOnce.HangUp();
+    atOnce.Abort();
     cr_assert(bench.SendAndWait("entry1").status_ == 200);
   }
   cr_assert(bench["entry1"].Running());
   cr_assert(bench["side1"].Running());
-  bench.Settle("hang-ups", "entry1");
+  bench.VerifyOutcomes("hang-ups", "entry1");
 }
 
-// Another version of ours, a stray client, or a broken switch reaches a side's
-// port. The connection ends and is counted; nothing is guessed, no memory is
-// taken for lengths that only a header claims, and entries are served on.
+// Guards against invalid frames on a side's port, from a process of another
+// version, an unrelated client or a faulty switch. The side must close and
+// count the connection, allocate no memory for lengths that only a header
+// claims, and keep serving entries.
 Test(BadInput, BadFramesEndTheirConnectionOnly)
 {
   Bench bench;
@@ -221,7 +224,7 @@
     ++broken;
     const CallRecord call = bench.SendAndWait("entry1");
     cr_assert(call.status_ == 200,
-              "Work was harmed by a frame with: %s: %d %s %s",
+              "A valid request failed after a frame with: %s: %d %s %s",
               name.c_str(),
               call.status_,
               call.body_.c_str(),
@@ -229,7 +232,7 @@
   }
   RawCaller halfFrame(link);
   halfFrame.Send(EncodeFrame(CancelMessage{ "attempt" }).substr(0, 11));
-  halfFrame.HangUp();
+  halfFrame.Abort();
   const std::string counters =
     "http://" + bench["side1"].Value("announce") + "/v1/counters";
   const std::string expected = "\"badLinks\":" + std::to_string(broken);
@@ -240,29 +243,29 @@
     },
     "the side to count " + expected);
   cr_assert(bench["side1"].ResidentKilobytes() < before + kGrowthKilobytes);
-  bench.Settle("bad-frames", "entry1");
+  bench.VerifyOutcomes("bad-frames", "entry1");
 }
 
-// The same on the datagram sockets: of an entry, and of a side, whose port this
-// test learns by posing as one of its entries.
+// Guards against invalid datagrams at an entry and at a side. The test obtains
+// the side's port by acting as one of its entries.
 Test(BadInput, BadDatagramsAreDroppedAndCounted)
 {
   Bench bench;
   bench.StartPlatform();
   bench.StartEntry("entry1");
-  QUdpSocket posing;
-  cr_assert(posing.bind(QHostAddress::LocalHost, 0));
+  QUdpSocket fakeEntry;
+  cr_assert(fakeEntry.bind(QHostAddress::LocalHost, 0));
   bench.StartSide(
-    "side1", "", "127.0.0.1:" + std::to_string(posing.localPort()));
+    "side1", "", "127.0.0.1:" + std::to_string(fakeEntry.localPort()));
   bench.StartUpstream("side1");
   bench.Configure("entry1");
   bench.WaitForSide("entry1", "side1");
-  WaitUntil([&posing] { return posing.hasPendingDatagrams(); },
+  WaitUntil([&fakeEntry] { return fakeEntry.hasPendingDatagrams(); },
             "a heartbeat of the side");
   QHostAddress sideAddress;
   quint16 sidePort = 0;
   char byte = 0;
-  posing.readDatagram(&byte, 1, &sideAddress, &sidePort);
+  fakeEntry.readDatagram(&byte, 1, &sideAddress, &sidePort);
   const std::string membership = bench["entry1"].Value("membership");
   const auto entryPort = static_cast<quint16>(
     std::stoi(membership.substr(membership.rfind(':') + 1)));
@@ -275,9 +278,9 @@
                    EncodeFrame(RecallMessage{ "q", "r" }));
   for (const auto& [name, bytes] : bad) {
     const auto size = static_cast<qint64>(bytes.size());
-    posing.writeDatagram(
+    fakeEntry.writeDatagram(
       bytes.data(), size, QHostAddress::LocalHost, entryPort);
-    posing.writeDatagram(bytes.data(), size, sideAddress, sidePort);
+    fakeEntry.writeDatagram(bytes.data(), size, sideAddress, sidePort);
     ++sent;
   }
   const std::string expected = "\"badDatagrams\":" + std::to_string(sent);
@@ -296,5 +299,5 @@
     },
     "the side to count " + expected);
   cr_assert(bench.SendAndWait("entry1").status_ == 200);
-  bench.Settle("bad-datagrams", "entry1");
+  bench.VerifyOutcomes("bad-datagrams", "entry1");
 }
--- a/Tests/Process/Bench.cxx
+++ b/Tests/Process/Bench.cxx
@@ -48,11 +48,11 @@
 }
 
 /**
- * An entry that has just started refuses a change, truthfully unmade, until the
- * table service has answered it once.
+ * Returns whether an entry refused a change because the table service has not
+ * answered it since its start. Such a change was not made.
  */
 bool
-IsTooEarly(const Result<HttpReply>& aPut)
+IsRefusedBeforeTableAnswer(const Result<HttpReply>& aPut)
 {
   const auto* reply = std::get_if<HttpReply>(&aPut);
   return reply != nullptr && reply->status_ == 503 &&
@@ -75,7 +75,7 @@
 {
   std::unique_ptr<Child>& place = children_[aName];
   if (place != nullptr) {
-    former_.push_back(std::move(place));
+    replaced_.push_back(std::move(place));
   }
   place = std::make_unique<Child>(aName, aProgram, aArguments);
   return *place;
@@ -246,7 +246,7 @@
   };
   const std::size_t before = reloads();
   (*this)[aName].Signal(SIGHUP);
-  WaitUntil([&] { return reloads() > before; }, aName + " to take its keys");
+  WaitUntil([&] { return reloads() > before; }, aName + " to apply its keys");
 }
 
 Child&
@@ -280,7 +280,7 @@
       put = Ask("PUT",
                 "http://" + (*this)[aEntry].Value("operators") + "/v1/config",
                 ConfigText(1));
-      return !IsTooEarly(put);
+      return !IsRefusedBeforeTableAnswer(put);
     },
     aEntry + " to have read the table service");
   const auto* reply = std::get_if<HttpReply>(&put);
@@ -395,7 +395,7 @@
   call.body_ = aBody;
   call.deadline_ = ReadMonotonicClock() + kCallBound;
   SignCall(call);
-  // Shared: the call may outlive a test that gave up waiting.
+  // Shared, because the call may outlive a test that timed out.
   auto result = std::make_shared<std::optional<Result<HttpReply>>>();
   caller_.Start(std::move(call), [result](const Result<HttpReply>& aReply) {
     *result = aReply;
@@ -423,7 +423,7 @@
 Bench::CreateJobs(const std::vector<std::string>& aEntries,
                   const std::vector<JobSpec>& aJobs)
 {
-  // Shared: the calls may outlive a test that gave up waiting.
+  // Shared, because the calls may outlive a test that timed out.
   auto replies = std::make_shared<std::vector<Result<HttpReply>>>();
   for (std::size_t index = 0; index < aJobs.size(); ++index) {
     VerbRequest request;
@@ -472,10 +472,10 @@
       return job.over_;
     },
     [&job, &aJob] {
-      return "job " + aJob + " to be over; it says " + ToJson(job);
+      return "job " + aJob + " to be over; its state is " + ToJson(job);
     });
   cr_assert(job.completed_ == job.tasks_,
-            "Of %u tasks of job %s %u completed.",
+            "Of the %u tasks of job %s, %u completed.",
             job.tasks_,
             aJob.c_str(),
             job.completed_);
@@ -528,7 +528,7 @@
   for (const auto& [name, child] : children_) {
     add(*child);
   }
-  for (const std::unique_ptr<Child>& child : former_) {
+  for (const std::unique_ptr<Child>& child : replaced_) {
     add(*child);
   }
   return runs;
@@ -602,35 +602,37 @@
 }
 
 Tally
-Bench::Settle(const std::string& aTestName, const std::string& aEntry)
+Bench::VerifyOutcomes(const std::string& aTestName, const std::string& aEntry)
 {
   WaitForCalls();
   const auto runs = Runs();
   const auto runsById = Runs(true);
   const Tally tally = Compare(calls_, runs, runsById);
-  std::cerr << TroubledText(calls_, runs, FirstSignal());
-  std::size_t doubtful = 0;
-  std::size_t untrue = 0;
+  std::cerr << FailedCallsText(calls_, runs, FirstSignal());
+  std::size_t unknownOutcomes = 0;
+  std::size_t contradictions = 0;
   for (const CallRecord& call : calls_) {
     if (call.requestId_.empty()) {
       continue;
     }
     const Verdict verdict = Conclude(Explain(aEntry, call.requestId_));
     const bool ran = runsById.contains(call.requestId_);
-    doubtful += verdict == Verdict::MayHaveRun ? 1 : 0;
+    unknownOutcomes += verdict == Verdict::MayHaveRun ? 1 : 0;
     const bool wrong = (verdict == Verdict::DidNotRun && ran) ||
                        (verdict == Verdict::Ran && !ran);
-    untrue += wrong ? 1 : 0;
+    contradictions += wrong ? 1 : 0;
     if (wrong) {
       std::cerr << "explain of " << call.requestId_ << " says "
                 << VerdictText(verdict) << '\n';
     }
   }
-  std::cerr << TallyText(aTestName, tally) << " explain-doubtful=" << doubtful
-            << " explain-untrue=" << untrue << std::endl;
+  std::cerr << TallyText(aTestName, tally)
+            << " explain-doubtful=" << unknownOutcomes
+            << " explain-untrue=" << contradictions << std::endl;
   cr_assert(tally.doubled_ == 0, "A request ran twice.");
-  cr_assert(tally.falseNotRun_ == 0, "A false 'did not run'.");
-  cr_assert(tally.wrongBody_ == 0, "An answer was another's or not whole.");
-  cr_assert(untrue == 0, "Explain was untrue.");
+  cr_assert(tally.falseNotRun_ == 0, "A false 'did not run' was reported.");
+  cr_assert(tally.wrongBody_ == 0,
+            "An answer belonged to another request or was incomplete.");
+  cr_assert(contradictions == 0, "An explanation contradicts the runs.");
   return tally;
 }
--- a/Tests/Process/Child.cxx
+++ b/Tests/Process/Child.cxx
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds kBound{ 30 };
+constexpr std::chrono::seconds kTimeout{ 30 };
 constexpr std::chrono::milliseconds kWake{ 20 };
 
 }
@@ -29,12 +29,12 @@
 WaitUntil(const std::function<bool()>& aCondition,
           const std::function<std::string()>& aWhat)
 {
-  const auto deadline = cactusrail::ReadMonotonicClock() + kBound;
+  const auto deadline = cactusrail::ReadMonotonicClock() + kTimeout;
   QTimer wake;
   wake.start(kWake);
   while (!aCondition()) {
     cr_assert(cactusrail::ReadMonotonicClock() < deadline,
-              "Waited in vain for: %s",
+              "Timed out while waiting for: %s",
               aWhat().c_str());
     QCoreApplication::processEvents(QEventLoop::WaitForMoreEvents);
   }
@@ -48,12 +48,13 @@
   QObject::connect(&process_,
                    &QProcess::readyReadStandardOutput,
                    &process_,
-                   [this] { TakeOutput(); });
+                   [this] { ReadOutput(); });
   QObject::connect(
     &process_, &QProcess::readyReadStandardError, &process_, [this] {
       log_ += process_.readAllStandardError().toStdString();
     });
-  // A test that fails ends without destructors; its children end with it.
+  // A failed test exits without running destructors; the signal ends its child
+  // processes.
   process_.setChildProcessModifier([] { ::prctl(PR_SET_PDEATHSIG, SIGKILL); });
   process_.start(QString::fromStdString(aProgram), aArguments);
   WaitUntil([this] { return !Lines("ready ").empty() || !Running(); },
@@ -72,14 +73,14 @@
 }
 
 void
-Child::TakeOutput()
+Child::ReadOutput()
 {
-  partial_ += process_.readAllStandardOutput().toStdString();
-  std::size_t end = partial_.find('\n');
+  partialLine_ += process_.readAllStandardOutput().toStdString();
+  std::size_t end = partialLine_.find('\n');
   while (end != std::string::npos) {
-    lines_.push_back(partial_.substr(0, end));
-    partial_.erase(0, end + 1);
-    end = partial_.find('\n');
+    lines_.push_back(partialLine_.substr(0, end));
+    partialLine_.erase(0, end + 1);
+    end = partialLine_.find('\n');
   }
 }
 
@@ -94,7 +95,8 @@
       return word.substr(start.size());
     }
   }
-  cr_assert_fail("No such value in the ready line of %s", name_.c_str());
+  cr_assert_fail("The ready line of %s lacks the requested value",
+                 name_.c_str());
   return {};
 }
 
--- a/Tests/Process/FailureTest.cxx
+++ b/Tests/Process/FailureTest.cxx
@@ -36,10 +36,10 @@
 
 }
 
-// The host of a runner dies with its side: some requests were answered, some
-// are at the upstream, some wait in the side's queue. Those at the upstream may
-// have run and must not be sent again; nobody may be told "did not run" of
-// them, and nobody may wait until the deadline.
+// Guards against false verdicts when a side's host dies with requests answered,
+// at the upstream and queued. Those at the upstream may have run: they must not
+// be sent again or reported as "did not run", and no caller may wait until the
+// deadline.
 Test(Failure, SideKilledWithRequestsQueuedDispatchedAndAnswered)
 {
   Bench bench;
@@ -53,15 +53,17 @@
   WaitUntil([&] { return bench.Runs().size() >= 4; }, "four runs to begin");
   bench["side1"].Kill();
   bench.WaitForCalls();
-  const Tally tally = bench.Settle("side-killed", "entry1");
+  const Tally tally = bench.VerifyOutcomes("side-killed", "entry1");
   cr_assert(tally.unanswered_ == 0);
   cr_assert(CountVerdict(bench, calls, "ran") >= 2);
-  cr_assert(tally.mayHaveRun_ >= 2, "Those at the upstream are in doubt.");
+  cr_assert(tally.mayHaveRun_ >= 2,
+            "Requests at the upstream must have an unknown outcome.");
 }
 
-// An entry's host dies while payouts of its callers are under way. The callers
-// try again through another entry with the same Idempotency-Key. No payout goes
-// out twice; each caller ends with the answer, or is told to ask for the first.
+// Guards against duplicate runs when an entry's host dies with requests in
+// flight and the callers retry through another entry with the same
+// Idempotency-Key. No request may run twice; each caller receives the answer or
+// is directed to the first request.
 Test(Failure, EntryKilledAndCallersRetryThroughAnother)
 {
   Bench bench;
@@ -88,13 +90,14 @@
   }
   bench.WaitForCalls();
   cr_assert(retried > 0, "The entry was killed too late.");
-  const Tally tally = bench.Settle("entry-killed", "entry2");
+  const Tally tally = bench.VerifyOutcomes("entry-killed", "entry2");
   cr_assert(tally.doubled_ == 0);
 }
 
-// A side's process dies and is started anew on the same addresses while callers
-// go on. An answer for an attempt of its first life must never reach a caller
-// of its second, and nothing that its first life had sent on may run again.
+// Guards against mixing two incarnations of a side that restarts on the same
+// addresses under load. An answer for an attempt of the first incarnation must
+// never reach a caller of the second, and nothing that the first one dispatched
+// may run again.
 Test(Failure, SideRestartedOnTheSamePort)
 {
   Bench bench;
@@ -124,12 +127,12 @@
       "the restarted side to get work");
   }
   bench.WaitForCalls();
-  const Tally tally = bench.Settle("side-restarted", "entry1");
+  const Tally tally = bench.VerifyOutcomes("side-restarted", "entry1");
   cr_assert(tally.unanswered_ == 0);
 }
 
-// A rack goes: an entry and a side die together, with payouts under way, and
-// their callers try again through the entry that is left.
+// Guards against duplicate runs when an entry and a side fail together with
+// requests in flight and the callers retry through the remaining entry.
 Test(Failure, EntryAndSideKilledTogether)
 {
   Bench bench;
@@ -154,12 +157,13 @@
     }
   }
   bench.WaitForCalls();
-  bench.Settle("entry-and-side-killed", "entry2");
+  bench.VerifyOutcomes("entry-and-side-killed", "entry2");
 }
 
-// The upstream's process dies in the middle of requests and comes back on
-// another port. What it was working on may have run; what comes before it is
-// announced again did not run, or runs elsewhere.
+// Guards against false verdicts when an upstream's process dies while it serves
+// requests and restarts on another port. Requests that it was serving may have
+// run; those that arrive before it is announced again did not run or run
+// elsewhere.
 Test(Failure, UpstreamKilledAndStartedAnew)
 {
   Bench bench;
@@ -177,21 +181,22 @@
   bench["upstream-side1"].Kill();
   pumpUntil(60);
   bench.StartUpstream("side1");
-  const Child& anew = bench["upstream-side1"];
+  const Child& restarted = bench["upstream-side1"];
   WaitUntil(
     [&] {
       traffic.Pump("entry1", 10);
-      return anew.Lines("ran ").size() >= 5;
+      return restarted.Lines("ran ").size() >= 5;
     },
     "the new upstream to get work");
   bench.WaitForCalls();
-  const Tally tally = bench.Settle("upstream-killed", "entry1");
+  const Tally tally = bench.VerifyOutcomes("upstream-killed", "entry1");
   cr_assert(tally.unanswered_ == 0);
 }
 
-// A side stops for longer than entries believe in it (a stalled machine) and
-// then goes on as if nothing had happened. Meanwhile others serve; what it had
-// taken is answered late or in doubt, and never run again elsewhere.
+// Guards against duplicate runs when a side stalls for longer than its
+// heartbeat timeout at the entries and then continues. Other sides serve
+// meanwhile; requests that the stalled side had accepted are answered late or
+// with an unknown outcome, and never run again elsewhere.
 Test(Failure, SideFrozenPastItsSilence)
 {
   Bench bench;
@@ -214,13 +219,13 @@
   bench.WaitForSide("entry1", "side1");
   SendMany(bench, "entry2", 12, plan);
   bench.WaitForCalls();
-  const Tally tally = bench.Settle("side-frozen", "entry1");
+  const Tally tally = bench.VerifyOutcomes("side-frozen", "entry1");
   cr_assert(tally.unanswered_ == 0);
 }
 
-// An entry stops for seconds while an upstream says goodbye, and then acts on
-// its old view. The leaving upstream's side must refuse, and the entry must
-// take the request elsewhere; nothing new runs on the upstream that has left.
+// Guards against new requests at an upstream that has left. An entry is frozen
+// for seconds while the upstream leaves, and then acts on stale data. The
+// upstream's side must refuse, and the entry must send the request elsewhere.
 Test(Failure, FrozenEntryDoesNotFeedALeavingUpstream)
 {
   Bench bench;
@@ -236,14 +241,15 @@
   bench["entry1"].Signal(SIGCONT);
   bench.WaitForCalls();
   cr_assert(bench["upstream-side1"].Lines("ran ").size() == before,
-            "The upstream that has left got new work.");
+            "The upstream that has left received a new request.");
   cr_assert(CountVerdict(bench, calls, "ran") == calls.size());
-  bench.Settle("entry-frozen", "entry1");
+  bench.VerifyOutcomes("entry-frozen", "entry1");
 }
 
-// The upstream's process stops for longer than its announcement lives. Callers
-// with little time are told "may have run" at their deadline and not later, and
-// when it thaws it does run what it holds: the verdict was right.
+// Guards against false or late verdicts when an upstream's process is frozen
+// for longer than its announcement is valid. Callers with a short deadline
+// receive "may have run" at the deadline and not later; the upstream does run
+// the requests when it continues, so that the verdict is correct.
 Test(Failure, UpstreamFrozenPastItsAnnouncement)
 {
   Bench bench;
@@ -266,13 +272,14 @@
   cr_assert(
     bench.SendAndWait("entry1", CallPlan{ .service_ = "brief" }).verdictText_ ==
     "ran");
-  const Tally tally = bench.Settle("upstream-frozen", "entry1");
+  const Tally tally = bench.VerifyOutcomes("upstream-frozen", "entry1");
   cr_assert(tally.unanswered_ == 0);
 }
 
-// The table service is down: a payout can't be kept from running twice, so it
-// is refused at once as "did not run", with the time to come back. Price
-// checks, which may run again, go on.
+// Guards against unnecessary refusals while the table service is down.
+// At-most-once requests can't be protected from running twice, so they are
+// refused at once as "did not run" with a retry time; idempotent requests
+// continue.
 Test(Failure, TableDownRefusesOnlyWhatNeedsIt)
 {
   Bench bench;
@@ -287,14 +294,14 @@
     cr_assert(CountVerdict(bench, checks, "ran") == checks.size());
     bench.SetFault("none");
     WaitUntil([&] { return bench.SendAndWait("entry1").verdictText_ == "ran"; },
-              "payouts to be taken again");
+              "payouts to be accepted again");
   }
-  bench.Settle("table-down", "entry1");
+  bench.VerifyOutcomes("table-down", "entry1");
 }
 
-// The table service does what it is told and its answers are lost: of claims,
-// and of outcomes. Whatever callers are told must be true, and a repeated key
-// must not run again.
+// Guards against false verdicts when the table service applies writes of claims
+// and outcomes but loses its answers. Every verdict must be true, and a
+// repeated key must not run again.
 Test(Failure, TableLosesAnswers)
 {
   Bench bench;
@@ -319,11 +326,11 @@
     bench.Send("entry1", plan);
   }
   bench.WaitForCalls();
-  bench.Settle("table-loses-answers", "entry1");
+  bench.VerifyOutcomes("table-loses-answers", "entry1");
 }
 
-// Two things at once: a side dies while the table service stalls, and the entry
-// is frozen in between.
+// Guards against false verdicts under combined faults: a side dies while the
+// table service stalls, and the entry is frozen meanwhile.
 Test(Failure, SideKilledWhileTheTableStalls)
 {
   Bench bench;
@@ -349,12 +356,14 @@
   bench.SetFault("none");
   pumpUntil(80);
   bench.WaitForCalls();
-  const Tally tally = bench.Settle("side-killed-table-stalled", "entry2");
+  const Tally tally =
+    bench.VerifyOutcomes("side-killed-table-stalled", "entry2");
   cr_assert(tally.unanswered_ == 0);
 }
 
-// An upstream says goodbye under load but goes on serving. The bound of promise
-// 7 is measured from its goodbye to the last request that it begins.
+// Guards against new requests at an upstream that announces its departure under
+// load but continues to serve. The bound of promise 7 is measured from the
+// goodbye to the last request that the upstream begins.
 Test(Failure, LeavingUpstreamGetsNothingNew)
 {
   Bench bench;
@@ -405,6 +414,6 @@
   std::cerr << "goodbye-to-last-start: rounds=" << milliseconds.size()
             << " p50=" << milliseconds[milliseconds.size() / 2]
             << " ms max=" << milliseconds.back() << " ms" << std::endl;
-  const Tally tally = bench.Settle("leaving-upstream", "entry1");
+  const Tally tally = bench.VerifyOutcomes("leaving-upstream", "entry1");
   cr_assert(tally.unanswered_ == 0 && tally.mayHaveRun_ == 0);
 }
--- a/Tests/Process/SecurityTest.cxx
+++ b/Tests/Process/SecurityTest.cxx
@@ -22,9 +22,9 @@
   return "[security]\nkeys = " + aKeys + "\n";
 }
 
-/** The keys with which this test asks as an operator. */
+/** Sets the keys that this test uses as an operator. */
 void
-HoldKeys(const std::string& aKeys)
+SetOperatorKeys(const std::string& aKeys)
 {
   KeyHolder::OfProcess().Replace(std::get<KeyRing>(KeyRing::Parse(aKeys)));
 }
@@ -36,7 +36,7 @@
   return reply == nullptr ? 0 : reply->status_;
 }
 
-/** The value of a counter on an entry's metrics page. */
+/** Returns the value of a counter on an entry's metrics page. */
 std::uint64_t
 CounterOf(Bench& aBench, const std::string& aEntry, const std::string& aName)
 {
@@ -49,13 +49,14 @@
 
 }
 
-// A key has leaked. Operators replace it on every host while clerks go on
-// calling: first all learn the new key, then it signs, then the old one goes.
-// No call may fail, and at the end the old key opens nothing.
+// Guards against failed calls during a key rotation. Operators replace a leaked
+// key on every host under load: all processes first accept the new key, then
+// sign with it, then drop the old one. No call may fail, and at the end the old
+// key must be rejected.
 Test(Security, KeysChangeWithoutCuttingACall)
 {
   Bench bench;
-  HoldKeys(kOld);
+  SetOperatorKeys(kOld);
   bench.StartPlatform();
   bench.StartEntry("entry1", KeySettings(kOld));
   bench.StartSide("side1", KeySettings(kOld));
@@ -69,11 +70,11 @@
     calls.push_back(bench.Send("entry1", plan));
   };
   const std::string join = ",";
-  std::string learnt = kOld + join;
-  learnt += kNew;
+  std::string accepting = kOld + join;
+  accepting += kNew;
   std::string signing = kNew + join;
   signing += kOld;
-  for (const std::string& keys : { learnt, signing, kNew }) {
+  for (const std::string& keys : { accepting, signing, kNew }) {
     callOn();
     bench.ReplaceKeys("entry1", keys);
     callOn();
@@ -85,7 +86,7 @@
     cr_assert(bench.Call(call).status_ == 200);
   }
   cr_assert(StatusOf(bench.AskOperators("entry1", "/v1/config")) == 401);
-  HoldKeys(kNew);
+  SetOperatorKeys(kNew);
   cr_assert(StatusOf(bench.AskOperators("entry1", "/v1/config")) == 200);
   bench.WaitForSide("entry1", "side1");
   // Explain opens a new link to the side, under the new key.
@@ -94,13 +95,13 @@
   cr_assert(Bench::Conclude(steps) == Verdict::Ran);
 }
 
-// An engineer asks one entry about a request that another entry served, in a
-// deployment with keys. The question among entries went unsigned, was refused,
-// and the engineer was told that nothing is known of the request.
+// Guards against unsigned queries between entries in a deployment with keys.
+// Such a query was refused, and an entry reported a request that another entry
+// had served as unknown.
 Test(Security, EntriesWithKeysExplainForEachOther)
 {
   Bench bench;
-  HoldKeys(kOld);
+  SetOperatorKeys(kOld);
   bench.StartPlatform();
   bench.StartEntry("entry1", KeySettings(kOld));
   bench.StartEntry("entry2", KeySettings(kOld));
@@ -117,12 +118,13 @@
   cr_assert(CounterOf(bench, "entry1", "unauthentic_operators_total") == 0);
 }
 
-// Somebody who reaches the ports starts a side of his own to get clerks'
-// requests, and asks an entry for its configuration to learn the tenants.
+// Guards against unauthenticated access: an attacker who reaches the ports
+// starts a side to receive requests, and requests the configuration from an
+// entry to obtain the tenants.
 Test(Security, AStrangersSideAndQuestionsAreRefusedAndCounted)
 {
   Bench bench;
-  HoldKeys(kOld);
+  SetOperatorKeys(kOld);
   bench.StartPlatform();
   bench.StartEntry("entry1", KeySettings(kOld));
   bench.StartSide("foreign", KeySettings(kNew));
@@ -137,13 +139,13 @@
     [&] {
       return CounterOf(bench, "entry1", "unauthentic_datagrams_total") > 10;
     },
-    "the strangers' heartbeats to be counted");
+    "the unauthenticated heartbeats to be counted");
   const auto sides = bench.AskOperators("entry1", "/v1/sides");
   const std::string& table = std::get<HttpReply>(sides).body_;
   cr_assert(table.find("foreign") == std::string::npos);
   cr_assert(table.find("open") == std::string::npos);
 
-  HoldKeys("");
+  SetOperatorKeys("");
   for (const char* page : { "/v1/config",
                             "/v1/sides",
                             "/metrics",
@@ -152,17 +154,17 @@
     cr_assert(StatusOf(bench.AskOperators("entry1", page)) == 401, "%s", page);
   }
   cr_assert(StatusOf(bench.AskOperators("entry1", "/healthz")) == 200);
-  HoldKeys(kOld);
+  SetOperatorKeys(kOld);
   cr_assert(CounterOf(bench, "entry1", "unauthentic_operators_total") == 5);
 }
 
-// Somebody who reaches a side's port asks it what it remembers of a request,
-// or sends it work, as an entry would. He is cut off, gets no byte of an
-// answer, and is counted; the entry's own link goes on.
+// Guards against unauthenticated links to a side's port that query a request's
+// steps or send work as an entry would. The side must close such a link without
+// answering, count it, and keep the entry's own link open.
 Test(Security, AStrangersLinkIsCutOffAndCounted)
 {
   Bench bench;
-  HoldKeys(kOld);
+  SetOperatorKeys(kOld);
   bench.StartPlatform();
   bench.StartEntry("entry1", KeySettings(kOld));
   bench.StartSide("side1", KeySettings(kOld));
@@ -180,7 +182,7 @@
   stranger.write(frame.data(), static_cast<qint64>(frame.size()));
   WaitUntil(
     [&] { return stranger.state() == QAbstractSocket::UnconnectedState; },
-    "the side to cut the stranger off");
+    "the side to close the unauthenticated link");
   cr_assert(stranger.bytesAvailable() == 0);
   const auto page =
     bench.Ask("GET", "http://" + bench["side1"].Value("announce") + "/metrics");
@@ -190,8 +192,9 @@
   cr_assert(bench.SendAndWait("entry1").status_ == 200);
 }
 
-// Settings with a slip must start nothing, and say so to the script that
-// started them.
+// Guards against a port that is open to the network without keys. A process
+// with such settings must not start, and its exit code must report the error to
+// the script that started it.
 Test(Security, OpenPortsOnTheNetworkAreNotStarted)
 {
   Bench bench;
--- a/Tests/StandIns/WorkerStandIn.cxx
+++ b/Tests/StandIns/WorkerStandIn.cxx
@@ -1,12 +1,14 @@
-// Takes the place of a worker of the platform: registers itself in the table
-// service and runs tasks under leases. Prints "started TASK EPOCH CHECKPOINT"
-// and "ended TASK EPOCH REASON CHECKPOINT" as it truly happens, so that tests
-// can compare. POST /fault?mode=MODE&count=N makes the next N calls fail:
-//   stall         never answer, do nothing
-//   lose-answer   do what was asked, then never answer
+// Stands in for a worker of the platform: registers itself in the table service
+// and runs tasks under leases. Prints "started TASK EPOCH CHECKPOINT" and
+// "ended TASK EPOCH REASON CHECKPOINT" for each actual start and end, so that
+// tests can compare them with reports. POST /fault?mode=MODE&count=N makes the
+// next N calls fail:
+//   stall         never answer, without any effect
+//   lose-answer   apply the command, then never answer
 //   fail-tasks    every task that starts fails at once (no count)
 //   report-less   leave running tasks out of reports (no count)
-// mode=none ends every fault. GET /truth tells what runs.
+// mode=none ends every fault. GET /truth returns the complete report, also
+// during a fault.
 
 #include "Connection/HttpCaller.h"
 #include "Connection/HttpFront.h"
@@ -33,7 +35,10 @@
 constexpr int kAdvanceMs = 20;
 constexpr int kRegisterMs = 500;
 
-/** Counts while the host sleeps, so that a lease runs out then too. */
+/**
+ * Returns a clock that also advances while the host is suspended, so that
+ * leases expire during that time.
+ */
 std::int64_t
 ReadWorkerClock()
 {
@@ -69,8 +74,8 @@
   WorkerTasks tasks_;
   std::string faultMode_ = "none";
   std::uint64_t faultCount_ = 0;
-  bool reportLess_ = false;
-  /** Stalled exchanges are kept, so that they are never answered. */
+  bool omitsRunningTasks_ = false;
+  /** Holds stalled exchanges, so that they are never answered. */
   std::vector<HttpExchange> stalled_;
 };
 
@@ -91,7 +96,7 @@
   const std::string count = aExchange.Query("count");
   faultCount_ = count.empty() ? ~0ULL : std::stoull(count);
   tasks_.Options().failEverything_ = faultMode_ == "fail-tasks";
-  reportLess_ = faultMode_ == "report-less";
+  omitsRunningTasks_ = faultMode_ == "report-less";
   if (faultMode_ == "none") {
     stalled_.clear();
   }
@@ -105,7 +110,7 @@
     stalled_.push_back(aExchange);
     return;
   }
-  if (reportLess_) {
+  if (omitsRunningTasks_) {
     aReport.running_.clear();
     aReport.used_ = {};
   }
@@ -163,7 +168,9 @@
   }
 }
 
-/** Writes the row "worker/ID" until the table service has taken it. */
+/**
+ * Writes the row "worker/ID", with retries until the table service accepts it.
+ */
 class Registration
 {
 public:
@@ -215,7 +222,7 @@
     "accelerators", options::value<std::int64_t>()->default_value(0))(
     "stated-milli-cpus",
     options::value<std::int64_t>()->default_value(-1),
-    "what it says that it has, if it lies")(
+    "reported capacity, if it differs from the real one")(
     "checkpoint-ms", options::value<std::int64_t>()->default_value(500));
   const auto values = ParseStandInOptions(argc, argv, known);
   if (!values.has_value()) {
