--- a/Source/Version/CellLease.cxx
+++ b/Source/Version/CellLease.cxx
@@ -41,9 +41,10 @@
   if (row_.owner_.empty()) {
     return aNow >= unchangedSince_ + wait;
   }
-  // The owner counts its lease from when it sent the write that this entry saw
-  // later, so it has given up by then, whatever the two clocks show. Taking
-  // earlier would leave two entries acting for the cell.
+  // The owner measures its lease from the time it sent the write, which is
+  // before this entry observed it. The lease has therefore expired after this
+  // wait, whatever the two clocks show. Taking the cell earlier could leave two
+  // entries acting for it.
   return aNow >=
          unchangedSince_ + timings_.cellLease_ + timings_.margin_ + wait;
 }
@@ -68,7 +69,8 @@
   if (aTake) {
     ++aRow.epoch_;
   }
-  // Unique among this owner's writes, so that the row tells which one applied.
+  // The beat is unique among this owner's writes, so that the row identifies
+  // the write that applied.
   nextBeat_ = std::max(nextBeat_, aRow.beat_) + 1;
   aRow.beat_ = nextBeat_;
   return aRow;
@@ -135,7 +137,7 @@
 {
   PauseWrites(aNow);
   if (IsMine(row_) && row_.beat_ == aRow.beat_) {
-    // A read showed the write's effect before its answer was given up.
+    // A read returned the written row before the write timed out.
     owned_ = true;
     deadline_ = aSentAt + timings_.cellLease_;
     return;
@@ -149,9 +151,9 @@
                    bool aCertain,
                    Instant aNow)
 {
-  // A read may answer from the past: only a refused write shows a lower
-  // revision truthfully. A read that shows the known revision proves nothing
-  // about a doubtful write, which may still be on its way.
+  // A read may return stale data: only a refused write is reliable evidence of
+  // a lower revision. A read that returns the known revision proves nothing
+  // about a write with an unknown outcome, which may still be in flight.
   if (seen_ && aRevision <= revision_ &&
       !(aCertain && aRevision != revision_)) {
     return false;
@@ -162,8 +164,8 @@
       deadline_ = write.sentAt_ + timings_.cellLease_;
     }
   }
-  // Another start of this entry by the same name, or a row that was restored,
-  // gives no right that this start did not earn by a write of its own.
+  // Only a write of this incarnation makes it the owner. A row written by
+  // another incarnation of the same name, or a restored row, does not.
   owned_ = mine && (owned_ || InDoubt());
   Adopt(aRow, aRevision, aNow);
   return true;
--- a/Source/Version/CellLease.h
+++ b/Source/Version/CellLease.h
@@ -10,7 +10,8 @@
 
 namespace cactusrail {
 
-/** A running entry: its name, and a number that differs with each start. */
+/** Identifies an entry process: its name and the incarnation number, which
+ * differs with each start. */
 struct EntryIdentity
 {
   std::string name_;
@@ -18,10 +19,11 @@
 };
 
 /**
- * One entry's view of a cell's row and of its own right to act for the cell.
- * Pure. Correctness rests on two things only: every write is conditional on the
- * row's revision, and an owner counts its lease from when it sent a write while
- * others count from when they saw it, so no synchronised clocks are needed.
+ * One entry's view of a cell's row and of its lease on the cell. Performs no
+ * I/O. Correctness depends on two rules: every write is conditional on the
+ * row's revision, and an owner measures its lease from the time it sent a write
+ * while the others measure from the time they observed it. Clocks therefore
+ * need no synchronisation.
  */
 class CellLease
 {
@@ -33,26 +35,31 @@
 
   bool Owned() const { return owned_; }
 
-  /** Until when grants may be made; they may reach ownerGrace_ beyond it. */
+  /** Latest time at which grants may be made. A grant may extend at most
+   * ownerGrace_ beyond it. */
   Instant Deadline() const { return deadline_; }
 
-  /** Whether the owner's word still counts: it may place and command. */
+  /** Whether this entry owns the cell and its lease is valid, so that it may
+   * place tasks and send commands. */
   bool MayAct(Instant aNow) const;
 
-  /** Whether this entry may try to take the cell, as aRank-th by preference. */
+  /** Whether this entry may try to take the cell; aRank is its position in the
+   * order of preference, and each position adds rankDelay_. */
   bool MayTake(std::size_t aRank, Instant aNow) const;
 
-  /** Whether a write may be sent now: none is under way, no pause is on. */
+  /** Whether a write may be sent now: none is in flight and the backoff after
+   * a failed write has elapsed. */
   bool MayWrite(Instant aNow) const;
   bool IsWriting() const { return writing_; }
 
-  /** No answer came for a write, which may yet apply. */
+  /** Whether a write has an unknown outcome: no answer was received and the
+   * write may still apply. */
   bool InDoubt() const { return !doubtful_.empty(); }
 
-  /** Whether the row must be written to keep the lease. */
+  /** Whether the row must be written to renew the lease. */
   bool BeatDue(Instant aNow) const;
 
-  /** The row with this entry as the owner; aTake raises the epoch. */
+  /** Returns the row with this entry as the owner; aTake raises the epoch. */
   CellRow Stamp(CellRow aRow, bool aTake);
 
   void WriteSent(const CellRow& aRow, Instant aNow);
@@ -60,25 +67,30 @@
                     std::uint64_t aRevision,
                     Instant aSentAt,
                     Instant aNow);
-  /** Refused because of another row; this row may still be as known. */
+  /** The write was refused because of another row of the transaction; the
+   * cell's row may be unchanged. */
   void WriteRefused(Instant aNow);
-  /** It certainly had no effect. */
+  /** The write had no effect. */
   void WriteFailed(Instant aNow);
+  /** The outcome of the write is unknown. */
   void WriteDoubtful(const CellRow& aRow, Instant aSentAt, Instant aNow);
 
-  /** The row as read, or as a refusal showed it (aCertain). True if news. */
+  /** Processes the row as read, or as returned by a refused write (aCertain).
+   * Returns true if the row differs from the known one. */
   bool Observe(const CellRow& aRow,
                std::uint64_t aRevision,
                bool aCertain,
                Instant aNow);
 
-  /** A listing did not show the row: nobody has owned the cell yet. */
+  /** Processes a listing without the row: the cell has had no owner yet. */
   void ObserveAbsent(Instant aNow);
 
-  /** The table did not answer for a while: nobody could renew a lease. */
+  /** Restarts the wait for the owner's lease to expire. Called after a table
+   * outage, during which no entry could renew its lease. */
   void RestartWatch(Instant aNow);
 
-  /** A worker has seen a higher epoch: another entry owns the cell. */
+  /** Gives up ownership because a worker reported a higher epoch, which proves
+   * that another entry owns the cell. */
   void Fenced(Instant aNow);
 
 private:
--- a/Source/Version/CellLedger.cxx
+++ b/Source/Version/CellLedger.cxx
@@ -25,8 +25,9 @@
 bool
 CellLedger::Reserve(const Reservation& aReservation, const Resources& aCapacity)
 {
-  // Two placements that each looked only at what runs would overfill a worker:
-  // whatever is reserved counts, begun or not, known or in doubt.
+  // Every reservation counts, whether its task has started, has not started or
+  // has an unknown outcome. If only running tasks counted, two placements could
+  // overcommit a worker.
   if (!aReservation.resources_.FitsIn(aCapacity,
                                       Taken(aReservation.workerId_))) {
     return false;
--- a/Source/Version/CellLedger.h
+++ b/Source/Version/CellLedger.h
@@ -8,9 +8,9 @@
 namespace cactusrail {
 
 /**
- * The reservations of a cell. Pure; owned by whoever prepares the next write
- * of the row. Promise 1 rests here: a reservation is added only where it fits
- * beside all others, and taken off only for one start of one task.
+ * The reservations of a cell. Performs no I/O; used to prepare the next write
+ * of the row. This class enforces promise 1: a reservation is added only if it
+ * fits in addition to all others, and removed only for one start of one task.
  */
 class CellLedger
 {
@@ -20,13 +20,14 @@
   const CellRow& Row() const { return row_; }
   CellRow& Row() { return row_; }
 
-  /** What all reservations on a worker take together. */
+  /** Returns the sum of all reservations on a worker. */
   Resources Taken(std::string_view aWorkerId) const;
 
-  /** Adds it if it fits, and if its task is not held already; says if so. */
+  /** Adds the reservation if it fits and its task has no reservation yet.
+   * Returns whether it was added. */
   bool Reserve(const Reservation& aReservation, const Resources& aCapacity);
 
-  /** Takes off the reservation of this very epoch, if there is one. */
+  /** Removes and returns the task's reservation of this epoch, if any. */
   std::optional<Reservation> Release(std::string_view aJobId,
                                      std::uint32_t aIndex,
                                      std::uint64_t aEpoch);
--- a/Source/Version/JobDescription.h
+++ b/Source/Version/JobDescription.h
@@ -9,43 +9,43 @@
 
 namespace cactusrail {
 
-/** One step of a job: so many equal tasks. */
+/** One step of a job: a number of identical tasks. */
 struct StepSpec
 {
   std::uint32_t count_ = 1;
-  /** In thousandths of a core. */
+  /** CPU demand of one task, in thousandths of a core. */
   std::int64_t cpuMilli_ = 0;
   std::int64_t memoryMb_ = 0;
   std::int64_t accelerators_ = 0;
-  /** A rough guess of one task's duration; often far off. */
+  /** Rough estimate of one task's duration; often inaccurate. */
   std::int64_t estimateMs_ = 0;
-  /** Steps whose tasks must all have ended well before this one starts. */
+  /** Steps whose tasks must all have completed before this step starts. */
   std::vector<std::uint32_t> after_;
-  /** Its tasks checkpoint, and resume from a checkpoint. */
+  /** Whether the tasks write checkpoints and resume from them. */
   bool checkpoints_ = false;
-  /** All tasks run together or not at all. */
+  /** Gang scheduling: all tasks run together or not at all. */
   bool gang_ = false;
-  /** Its tasks are slower when spread over several racks. */
+  /** Whether the tasks are slower when spread over several racks. */
   bool sameRack_ = false;
-  /** A label that the worker must have; empty for any worker. */
+  /** Label that the worker must have; empty for any worker. */
   std::string requiredLabel_;
-  /** The rack where its data lies; slower on every other rack. */
+  /** Rack that stores the input data; tasks are slower on other racks. */
   std::string dataRack_;
-  /** At most so many of its tasks on one worker; 0 for no bound. */
+  /** Maximum number of the step's tasks on one worker; 0 for no limit. */
   std::uint32_t maxPerWorker_ = 0;
-  /** Copies may run in parallel; the first to end counts. */
+  /** Whether copies of a task may run in parallel; the first to end counts. */
   bool allowsCopies_ = false;
-  /** Its tasks run until the job is cancelled. */
+  /** Whether the tasks run until the job is cancelled. */
   bool longRunning_ = false;
-  /** What its tasks run; tasks of one image behave alike. */
+  /** Image that the tasks run; tasks of one image behave alike. */
   std::string image_;
-  /** Tail latency that its tasks must keep for their own users; 0 for none. */
+  /** Tail latency that the tasks must meet for their users; 0 for none. */
   std::int64_t latencyObjectiveMs_ = 0;
-  /** It takes the processors that others leave; not counted against room. */
+  /** Whether the tasks use only idle CPU; not counted against capacity. */
   bool backfill_ = false;
-  /** So many of its tasks may be away at once through our doing. */
+  /** Maximum number of tasks that the scheduler may interrupt at once. */
   std::uint32_t disruptionBudget_ = 0;
-  /** The job states a disruption budget; without it any number may be away. */
+  /** Whether the job sets a disruption budget; without it there is no limit. */
   bool hasDisruptionBudget_ = false;
 
   template<class Archive>
@@ -73,31 +73,34 @@
   }
 };
 
-/** A job as a caller handed it in. */
+/** A job as submitted by a caller. */
 struct JobDescription
 {
-  /** Chosen by the caller; a repeat of it is the same job. */
+  /** Chosen by the caller; a repeated submission refers to the same job. */
   std::string id_;
-  /** The queue's host and path prefix, as QueueKey() writes them. */
+  /** The queue's host and path prefix, as QueueRule::Key() writes them. */
   std::string queue_;
   /** The service whose workers ran the queue when the job was accepted. */
   std::string service_;
-  /** As the queue's rule said then; 0 goes first and may preempt the others. */
+  /** Taken from the queue's rule on acceptance; 0 is the highest priority and
+   * may preempt the others. */
   std::int64_t priority_ = 0;
-  /** Failed runs of one task after which the job has failed. */
+  /** Number of failed runs of one task after which the job fails. */
   std::int64_t maxAttempts_ = 1;
-  /** Its workers must be allowed by the advice service. */
+  /** Whether the advice service must allow the job's workers. */
   bool needsAdvice_ = false;
-  /** It is in time if it took so many times its longest chain of work... */
+  /** The job meets its deadline if it takes at most this multiple of its
+   * critical path plus latencyObjectiveMs_. */
   double stretch_ = 1;
-  /** ...and so many ms more. */
+  /** Added to the stretched critical path, in ms. */
   std::int64_t latencyObjectiveMs_ = 0;
-  /** Wall clock of the accepting entry, in ms since 1970; orders the queue. */
+  /** Wall-clock time of the accepting entry, in ms since 1970; orders the
+   * queue. */
   std::int64_t acceptedAtMs_ = 0;
-  /** Passed to each task unread. */
+  /** Opaque data that is passed to each task. */
   std::string payload_;
   std::vector<StepSpec> steps_;
-  /** Its steps run this many times; 0 and 1 both mean once. */
+  /** Number of times that the steps run; 0 and 1 both mean once. */
   std::uint32_t occurrences_ = 0;
   /** When occurrence 0 is due, in ms since 1970; 0 for at once. */
   std::int64_t startAtMs_ = 0;
--- a/Source/Version/JobLedger.cxx
+++ b/Source/Version/JobLedger.cxx
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** A task that failed this often is counted as failed for good. */
+/** Number of failures after which a task is not retried. */
 constexpr std::uint32_t kMaxFailures = 3;
 
 }
@@ -130,9 +130,9 @@
 bool
 JobLedger::MayRunAgain(TaskEnd aEnd, const std::string& aCheckpoint) const
 {
-  // A payout batch whose worker vanished may have paid after its last
+  // A payout batch whose worker was lost may have paid after its last
   // checkpoint; starting it again would pay twice. Only a checkpoint that was
-  // taken by the stop itself says how far it came.
+  // taken by the stop itself covers all of the work done.
   return row_.spec_.idempotent_ || aEnd == TaskEnd::NeverStarted ||
          (aEnd == TaskEnd::Stopped && !aCheckpoint.empty());
 }
@@ -145,8 +145,9 @@
                const std::string& aCheckpoint)
 {
   TaskRecord* task = FindOpen(aIndex);
-  // A worker that was frozen past its lease reports an end long after its task
-  // went elsewhere: the epoch has risen, the late word changes nothing.
+  // A worker that was frozen past its lease can report an end after its task
+  // was started elsewhere. The epoch has risen since, so the late report is
+  // ignored.
   if (task == nullptr || task->state_ != TaskState::Held ||
       task->epoch_ != aEpoch) {
     return false;
@@ -164,8 +165,8 @@
       return true;
     }
   }
-  // A task that never began stays in the row, so that explain can go on saying
-  // so; the closed ones all ran.
+  // A task that never started stays in the row so that explain can still
+  // report it; all closed tasks ran.
   if (IsFinal() && aEnd == TaskEnd::Stopped) {
     ++row_.ended_;
     Close(aIndex);
--- a/Source/Version/JobLedger.h
+++ b/Source/Version/JobLedger.h
@@ -9,32 +9,32 @@
 
 namespace cactusrail {
 
-/** How a start of a task came to its end, as its cell's owner knows it. */
+/** How a start of a task ended, as recorded by the cell's owner. */
 enum class TaskEnd : std::uint8_t
 {
   Completed,
   Failed,
-  /** Stopped as told; its checkpoint, if it has one, is its last word. */
+  /** Stopped by command; the checkpoint, if any, covers all of its work. */
   Stopped,
-  /** It is over for certain, but how far it came is not known. */
+  /** Ended, with unknown progress. */
   Lost,
-  /** Known never to have begun. */
+  /** Proven never to have started. */
   NeverStarted,
 };
 
-/** Word for transcripts and explain. */
+/** Returns the text for transcripts and explain. */
 std::string_view
 TaskEndText(TaskEnd aEnd);
 
-/** What the end of a start says of the task; aSeenRunning if its worker once
- * said that it ran. */
+/** Returns the verdict that follows from the end of a start; aSeenRunning is
+ * true if the worker has reported the start as running. */
 Verdict
 EndVerdict(TaskEnd aEnd, bool aSeenRunning);
 
 std::string_view
 WantedText(Wanted aWanted);
 
-/** The task to be placed next. */
+/** The next task to place. */
 struct PendingTask
 {
   std::uint32_t index_ = 0;
@@ -44,8 +44,8 @@
 };
 
 /**
- * The changes that a job's row goes through. Pure; the caller writes the row
- * under the condition that it was not changed meanwhile. Promise 3 rests here:
+ * State transitions of a job's row. Performs no I/O; the caller writes the row
+ * on condition that its revision is unchanged. This class enforces promise 3:
  * a task is Pending, Held by one cell, or Parked, and every end of a start
  * raises its epoch.
  */
@@ -56,25 +56,27 @@
 
   const JobRow& Row() const { return row_; }
 
-  /** The next task to place; none if the job does not want any started. */
+  /** Returns the next task to place; none if the job must start no task. */
   std::optional<PendingTask> NextPending() const;
 
-  /** The cell holds the task from now on. */
+  /** Assigns the task to the cell. */
   void Hold(std::uint32_t aIndex, const std::string& aCell);
 
-  /** The start with this epoch has ended; false if it is not the held one. */
+  /** Records the end of the start with this epoch. Returns false and changes
+   * nothing if that start is not the one that is held. */
   bool End(std::uint32_t aIndex,
            std::uint64_t aEpoch,
            TaskEnd aEnd,
            Verdict aVerdict,
            const std::string& aCheckpoint);
 
-  /** Lets parked tasks start again, as an operator decided. */
+  /** Makes parked tasks pending again, on an operator's request. */
   void Unpark();
 
   void SetWanted(Wanted aWanted) { row_.wanted_ = aWanted; }
 
-  /** Whether no task is open or will be; the row can move to "done/". */
+  /** Whether no task is running or will be started, so that the row can move
+   * to "done/". */
   bool IsOver() const;
 
   const TaskRecord* Find(std::uint32_t aIndex) const;
--- a/Source/Version/JobProgress.h
+++ b/Source/Version/JobProgress.h
@@ -12,7 +12,7 @@
 
 namespace cactusrail {
 
-/** What became of a job. */
+/** Lifecycle state of a job. */
 enum class JobState : std::uint8_t
 {
   Pending = 0,
@@ -28,14 +28,14 @@
   return aState >= JobState::Completed;
 }
 
-/** What must be remembered of one task that has not ended well yet. */
+/** Recorded progress of a task that has not completed successfully. */
 struct TaskNote
 {
   std::uint32_t index_ = 0;
-  /** Runs that ended as failed; by number, so that an end that is reported
-   * twice counts once. */
+  /** Numbers of the failed runs. Recording numbers rather than a count makes
+   * an end that is reported twice count once. */
   std::vector<std::uint32_t> failedRuns_;
-  /** Where a new run resumes; empty for the start. */
+  /** Checkpoint that a new run resumes from; empty for the beginning. */
   std::string checkpoint_;
 
   template<class Archive>
@@ -45,13 +45,13 @@
   }
 };
 
-/** What must be remembered of one step of one occurrence. */
+/** Recorded progress of one step of one occurrence. */
 struct StepNote
 {
   std::uint32_t occurrence_ = 0;
   std::uint32_t step_ = 0;
   bool allDone_ = false;
-  /** Tasks that ended well, if not all did. */
+  /** Tasks that completed successfully; unused if allDone_ is set. */
   std::vector<std::uint32_t> done_;
   std::vector<TaskNote> tasks_;
 
@@ -63,16 +63,16 @@
 };
 
 /**
- * What a scheduler must not forget of a job: which tasks ended well, how often
- * the others failed, where they resume. Written before an end is acknowledged
- * to the worker, for the worker then forgets it.
+ * The durable progress of a job: which tasks completed, how often the others
+ * failed and where they resume. It is written before the end of a run is
+ * acknowledged, because the worker then discards its own record of that end.
  */
 struct JobProgress
 {
   JobState state_ = JobState::Pending;
   /** When the final state was reached, in ms since 1970; 0 before. */
   std::int64_t endedAtMs_ = 0;
-  /** Occurrences before this one are done and have no notes. */
+  /** Occurrences before this one are done and have no entries in steps_. */
   std::uint32_t occurrencesDone_ = 0;
   std::vector<StepNote> steps_;
 
@@ -83,7 +83,7 @@
   }
 };
 
-/** "pending", "running" and so on, for people and logs. */
+/** Returns the state's name for output and logs, such as "pending". */
 std::string_view
 JobStateText(JobState aState);
 
--- a/Source/Version/JobSummary.h
+++ b/Source/Version/JobSummary.h
@@ -10,7 +10,7 @@
 
 namespace cactusrail {
 
-/** One line of the list of jobs. */
+/** One element of the list of jobs. */
 struct JobSummary
 {
   std::string id_;
@@ -23,7 +23,7 @@
   std::uint32_t ended_ = 0;
   std::uint32_t held_ = 0;
   std::uint32_t waiting_ = 0;
-  /** May have run and is not started again without an operator. */
+  /** Number of tasks that may have run and that only an operator restarts. */
   std::uint32_t parked_ = 0;
 
   template<class Archive>
@@ -43,7 +43,7 @@
   }
 };
 
-/** The answer to GET /v1/jobs. */
+/** Response body of GET /v1/jobs. */
 struct JobList
 {
   std::vector<JobSummary> jobs_;
@@ -55,7 +55,7 @@
   }
 };
 
-/** aOver: the row is under "done/". */
+/** Summarizes a job's row; aOver is true if the row is under "done/". */
 JobSummary
 Summarize(const JobRow& aJob, bool aOver);
 
