--- a/Source/Version/CellLease.h
+++ b/Source/Version/CellLease.h
@@ -76,7 +76,7 @@
   void WriteDoubtful(const CellRow& aRow, Instant aSentAt, Instant aNow);
 
   /** Processes the row as read, or as returned by a refused write (aCertain).
-   * Returns true if the row differs from the known one. */
+   * Returns true if the row replaced the known one. */
   bool Observe(const CellRow& aRow,
                std::uint64_t aRevision,
                bool aCertain,
--- a/Source/Version/Configuration.cxx
+++ b/Source/Version/Configuration.cxx
@@ -35,7 +35,7 @@
   return std::isfinite(aWeight) && aWeight >= 0.0;
 }
 
-/** The first fault of a configuration; empty if there is none. */
+/** Returns the first validation error; empty if the configuration is valid. */
 std::string
 FindFault(const Configuration& aConfiguration)
 {
--- a/Source/Version/Configuration.h
+++ b/Source/Version/Configuration.h
@@ -12,15 +12,17 @@
 
 namespace cactusrail {
 
-/** A customer's team: who may call, and how much it may hold at once. */
+/** A tenant: the credentials of its callers and its share of the resources. */
 struct TenantConfig
 {
   std::string name_;
-  /** SHA-256 of the key that its callers send, in hex; keys aren't kept. */
+  /** SHA-256 of the key that its callers send, in hex; the key itself is not
+   * stored. */
   std::string keySha256_;
-  /** Its weight when tenants compete; at least 1. */
+  /** Weight of the tenant when tenants compete; at least 1. */
   std::uint32_t share_ = 1;
-  /** The processors its batch work may hold at once, in thousandths. */
+  /** Maximum CPU that its batch work may hold at once, in thousandths of a
+   * core. */
   std::uint64_t quotaMilliCpus_ = 0;
 
   template<class Archive>
@@ -33,14 +35,14 @@
   }
 };
 
-/** A service that callers may ask for by name. */
+/** A service that callers may request by name. */
 struct ServiceConfig
 {
   std::string name_;
   Labels labels_;
   /** If false, a request other than GET or HEAD runs at most once. */
   bool idempotent_ = false;
-  /** The longest that a request may take, in milliseconds. */
+  /** Request timeout, in milliseconds. */
   std::uint32_t timeoutMs_ = 10000;
   bool paused_ = false;
 
@@ -55,7 +57,8 @@
   }
 };
 
-/** What the deployment weighs; the policy is one engine with these weights. */
+/** Relative weights of the scheduling goals; one policy engine uses them all.
+ */
 struct PolicyWeights
 {
   double tailLatency_ = 1.0;
@@ -72,8 +75,8 @@
 };
 
 /**
- * The one configuration of a deployment, kept by the platform in the row
- * "config/current". Lives for a version: never changed, only replaced by one
+ * The configuration of a deployment, stored by the platform in the row
+ * "config/current". Immutable: a configuration is only ever replaced by one
  * with a higher version.
  */
 struct Configuration
@@ -96,11 +99,12 @@
   const TenantConfig* FindTenantByKey(std::string_view aKeySha256) const;
 };
 
-/** Parses and checks; a configuration that fails here is never accepted. */
+/** Parses and validates a configuration. A configuration that fails here is
+ * never accepted. */
 Result<Configuration>
 ParseConfiguration(std::string_view aText);
 
-/** The text that ParseConfiguration reads. */
+/** Returns the text that ParseConfiguration() reads. */
 std::string
 ConfigurationText(const Configuration& aConfiguration);
 
--- a/Source/Version/ConfigurationHolder.h
+++ b/Source/Version/ConfigurationHolder.h
@@ -8,19 +8,22 @@
 namespace cactusrail {
 
 /**
- * The configuration in force in this process: the highest version seen. Safe
- * from any thread. A lower version is refused, whoever offers it: a table
- * service that answers from the past or was restored must not revert one.
+ * Holds the configuration in force in this process: the highest version
+ * received. Thread-safe. A lower version is refused whatever its source, so
+ * that a table service that returns stale data or was restored from a backup
+ * cannot revert the configuration.
  */
 class ConfigurationHolder
 {
 public:
   ConfigurationHolder();
 
-  /** Takes the configuration if its version is higher; says if it did. */
+  /** Installs the configuration if its version is higher than the current
+   * one. Returns whether it was installed. */
   bool Offer(std::shared_ptr<const Configuration> aConfiguration);
 
-  /** Never null: an empty one with version 0 at first. */
+  /** Returns the configuration in force. Never null; initially an empty
+   * configuration with version 0. */
   std::shared_ptr<const Configuration> Current() const;
 
 private:
--- a/Source/Version/ConfigurationVersion.cxx
+++ b/Source/Version/ConfigurationVersion.cxx
@@ -11,13 +11,13 @@
 namespace {
 
 constexpr Millis kReadEvery{ 1000 };
-/** An operator waits no longer than this for the table's word. */
+/** Timeout of an operator's change. */
 constexpr Millis kChangeBound{ 8000 };
-/** A change whose write failed is written again after this. */
+/** Delay before a failed write of a change is retried. */
 constexpr Millis kRewriteAfter{ 500 };
-/** A stale table is not written to more often than this. */
+/** Minimum interval between write-backs to a stale table. */
 constexpr Millis kWriteBackEvery{ 5000 };
-/** A version that nobody has named for this long is no longer waited for. */
+/** Time after which a version that no peer reports any more is ignored. */
 constexpr Millis kBelievePeers{ 10000 };
 
 constexpr int kBadRequest = 400;
@@ -25,7 +25,7 @@
 constexpr int kUnavailable = 503;
 constexpr int kOk = 200;
 
-/** A record whose configuration is valid, or nothing. */
+/** Parses a record; none if it or its configuration is invalid. */
 std::optional<ConfigurationRecord>
 ReadRecord(const std::string& aValue)
 {
@@ -44,15 +44,15 @@
   return ConfigurationText(aLeft) == ConfigurationText(aRight);
 }
 
-/** An operator's change that has no answer yet. */
+/** An operator's change that has not been answered. */
 struct Change
 {
   ConfigurationRecord record_;
   std::uint64_t revision_ = 0;
   Instant deadline_;
-  /** Written at least once, so that it may have taken effect. */
+  /** Whether a write was sent, so that the change may have taken effect. */
   bool sent_ = false;
-  /** A write is on its way to the table. */
+  /** Whether a write is in flight. */
   bool writing_ = false;
   Instant nextWrite_;
 };
@@ -90,7 +90,7 @@
   std::uint64_t peerVersion_ = 0;
   Instant peerVersionUntil_;
   std::optional<Change> change_;
-  /** The revision that the last alarm was about, so that it comes once. */
+  /** Revision of the last alarm; each revision raises at most one alarm. */
   std::optional<std::uint64_t> alarmed_;
   ConfigurationCounts counts_;
 };
@@ -177,12 +177,13 @@
       aActions.emplace_back(RaiseConfigurationAlarm{
         "configuration-fork",
         "the table holds another configuration of version " +
-          std::to_string(version) + "; accept a higher version to settle it" });
+          std::to_string(version) +
+          "; submit a configuration with a higher version to replace both" });
     }
     return;
   }
-  // The table was restored from an old copy, or answers from the past:
-  // following it would undo a change that an operator was told is in force.
+  // The table was restored from a backup or returns stale data. Applying the
+  // row would revert a change that was confirmed to an operator.
   if (firstSight) {
     alarmed_ = aRow.revision_;
     ++counts_.regressions_;
@@ -229,7 +230,8 @@
          "was not made.";
 }
 
-/** Sends a change that came before the table's first answer, if it fits. */
+/** Sends a change that was received before the table's first answer if its
+ * version is the next one, and refuses the change otherwise. */
 void
 ConfigurationVersion::Private::BeginChange(Actions& aActions)
 {
@@ -261,8 +263,8 @@
   const std::optional<ConfigurationRecord> found =
     row.revision_ == 0 ? std::nullopt : ReadRecord(row.value_);
   const std::uint64_t mine = change_->record_.configuration_.version_;
-  // An earlier copy of this write took effect and its answer was lost. A row
-  // without a nonce was written back by an entry that had it from a peer.
+  // An earlier attempt of this write took effect and its answer was lost. A row
+  // without a nonce was written back by an entry that received it from a peer.
   const bool own =
     found.has_value() &&
     (found->nonce_ == change_->record_.nonce_ ||
@@ -284,8 +286,9 @@
     CompareRow(aActions, row, aNow);
     return;
   }
-  // The revision came from a stale answer; the row itself is still older. The
-  // next tick writes again, so that a table that keeps lying isn't flooded.
+  // The revision came from a stale read, but the row's version is still lower.
+  // The next tick retries the write rather than this function, so that a table
+  // that keeps returning stale data is not flooded with writes.
   change_->revision_ = row.revision_;
 }
 
@@ -427,7 +430,8 @@
   self.change_->writing_ = false;
   self.change_->nextWrite_ = aNow + kRewriteAfter;
   if (outcome == nullptr) {
-    // The next tick sends the same write again: its condition holds once.
+    // The next tick sends the same write again; its condition holds at most
+    // once.
     return actions;
   }
   self.OnChangeWritten(actions, *outcome, aNow);
--- a/Source/Version/ConfigurationVersion.h
+++ b/Source/Version/ConfigurationVersion.h
@@ -14,10 +14,11 @@
 
 namespace cactusrail {
 
-/** What the row "config/current" holds. */
+/** Value of the row "config/current". */
 struct ConfigurationRecord
 {
-  /** Of the change that wrote it: tells one's own write from an equal one. */
+  /** Nonce of the change that wrote the row. Distinguishes a writer's own write
+   * from an equal write of another entry. */
   std::string nonce_;
   Configuration configuration_;
 
@@ -29,24 +30,26 @@
   }
 };
 
-/** Read the row "config/current". */
+/** Requests a read of the row "config/current". */
 struct ReadConfigurationRow
 {};
 
-/** Ask entries and sides that may hold a higher version. */
+/** Requests the configuration from entries and sides, which may hold a higher
+ * version. */
 struct AskPeersForConfiguration
 {};
 
-/** Write the row if it is still at the revision (0: absent). */
+/** Requests a write of the row, conditional on its revision (0: absent). */
 struct WriteConfigurationRow
 {
   std::uint64_t revision_ = 0;
   std::string value_;
-  /** An operator's change, or the return of a version that the table lost. */
+  /** True for an operator's change; false for the write-back of a version that
+   * the table lost. */
   bool isChange_ = false;
 };
 
-/** Put the configuration in force in this process. */
+/** Puts the configuration in force in this process. */
 struct TakeConfiguration
 {
   std::shared_ptr<const Configuration> configuration_;
@@ -54,16 +57,16 @@
   std::string source_;
 };
 
-/** The one answer to an operator's change. */
+/** The single response to an operator's change. */
 struct AnswerConfigurationChange
 {
   std::string nonce_;
   int status_ = 0;
-  /** Whole sentence; empty if the change was accepted. */
+  /** A whole sentence; empty if the change was accepted. */
   std::string message_;
 };
 
-/** Something that operators should look at: one line, and a count. */
+/** An alarm for operators: one log line and a count. */
 struct RaiseConfigurationAlarm
 {
   std::string event_;
@@ -77,32 +80,32 @@
                                          AnswerConfigurationChange,
                                          RaiseConfigurationAlarm>;
 
-/** Counts since the process began, for the metrics page. */
+/** Counters since the start of the process, for the metrics page. */
 struct ConfigurationCounts
 {
-  /** The table answered with less than is in force. */
+  /** Number of reads that returned a version lower than the one in force. */
   std::uint64_t regressions_ = 0;
   std::uint64_t writeBacks_ = 0;
-  /** Two configurations bear the same version. */
+  /** Number of conflicts between two configurations with the same version. */
   std::uint64_t forks_ = 0;
   std::uint64_t invalidRows_ = 0;
 };
 
 /**
  * Decides which configuration is in force in an entry and how changes are
- * accepted. Pure: facts and an Instant in, actions out.
+ * accepted. Performs no I/O: takes events and an Instant, returns actions.
  *
- * - The highest version seen wins, wherever it comes from; nothing lower is
- *   ever taken. A table that answers from the past or was restored is noticed,
+ * - The highest version received wins, whatever its source; a lower version is
+ *   never applied. A table that returns stale data or was restored is detected,
  *   and the higher version is written back on condition of the row's revision,
- *   so that a merely stale answer overwrites nothing.
+ *   so that a stale read does not cause an overwrite.
  * - A change is accepted by one conditional write of the next version. If the
- *   answer is lost the same write is sent again: its condition holds at most
- *   once, and the nonce in the row says whose write it was.
- * - A change is not taken while a higher version is known to exist elsewhere,
- *   or while nothing is known of the one in force.
+ *   answer is lost, the same write is sent again: its condition holds at most
+ *   once, and the nonce in the row identifies the writer.
+ * - A change is refused while a higher version is known to exist elsewhere, or
+ *   while the version in force is unknown.
  *
- * One an entry, used in one thread.
+ * One instance per entry; not thread-safe.
  */
 class ConfigurationVersion
 {
@@ -115,22 +118,23 @@
   /** Call at least every second. */
   Actions OnTick(Instant aNow);
 
-  /** The row as read; a revision of 0 means that there is none. */
+  /** Processes the row as read; revision 0 means that it is absent. */
   Actions OnRow(const TableRow& aRow, Instant aNow);
   Actions OnReadFailed(Instant aNow);
 
-  /** A peer says which version it holds. */
+  /** Processes a peer's report of its version. */
   Actions OnPeerVersion(std::uint64_t aVersion, Instant aNow);
 
-  /** A peer's configuration, as ConfigurationText() writes it. */
+  /** Processes a peer's configuration, as written by ConfigurationText(). */
   Actions OnPeerConfiguration(std::string_view aText, Instant aNow);
 
-  /** An operator's change; the nonce is unique and is the answer's name. */
+  /** Processes an operator's change; the nonce is unique and identifies the
+   * response. */
   Actions OnChange(const std::string& aNonce,
                    std::string_view aText,
                    Instant aNow);
 
-  /** The end of a WriteConfigurationRow. */
+  /** Processes the result of a WriteConfigurationRow. */
   Actions OnWritten(const WriteConfigurationRow& aWrite,
                     const Result<TableOutcome>& aResult,
                     Instant aNow);
--- a/Source/Version/FleetConfiguration.h
+++ b/Source/Version/FleetConfiguration.h
@@ -7,42 +7,47 @@
 
 namespace cactusrail {
 
-/** A queue: where callers hand jobs in, and how its jobs are treated. */
+/** A queue: the address where callers submit jobs, and the rules for these
+ * jobs. */
 struct QueueRule
 {
   std::string name_;
-  /** Callers' Host header. */
+  /** Value of the callers' Host header. */
   std::string host_;
-  /** With its closing slash, as the operator wrote it. */
+  /** Path prefix with its trailing slash, as configured by the operator. */
   std::string prefix_;
-  /** The service whose workers run its tasks. */
+  /** Service whose workers run the queue's tasks. */
   std::string service_;
-  /** 0 goes first and may preempt the others. */
+  /** 0 is the highest priority and may preempt the others. */
   std::int64_t priority_ = 0;
-  /** Failed runs of one task after which its job has failed. */
+  /** Number of failed runs of one task after which its job fails. */
   std::int64_t maxAttempts_ = 1;
-  /** A job is in time if it took so many times its longest chain of work... */
+  /** A job meets its deadline if it takes at most this multiple of its critical
+   * path plus latencyObjectiveMs_. */
   double stretch_ = 1;
-  /** ...and so many ms more. */
+  /** Added to the stretched critical path, in ms. */
   std::int64_t latencyObjectiveMs_ = 0;
-  /** Workers must be allowed by the advice service. */
+  /** Whether the advice service must allow the workers. */
   bool needsAdvice_ = false;
 
-  /** What a job remembers of its queue; names may be given anew. */
+  /** Returns the key that a job stores to identify its queue. The queue's name
+   * is not used because names may be reused. */
   std::string Key() const { return host_ + prefix_; }
 };
 
-/** A service: the workers that run tasks of its queues. */
+/** A service: the workers that run the tasks of its queues. */
 struct ServiceRule
 {
   std::string name_;
-  /** Its workers refuse what does not fit; otherwise only we count. */
+  /** Whether its workers refuse tasks that do not fit. Otherwise only the
+   * scheduler accounts for capacity. */
   bool enforcesCapacity_ = false;
-  /** Its machines are off until they are moved elsewhere. */
+  /** Whether its machines are powered off until they are moved to another
+   * service. */
   bool standby_ = false;
 };
 
-/** One version of what the operator configured. */
+/** One version of the operator's configuration of the fleet. */
 struct FleetConfiguration
 {
   std::int64_t version_ = 0;
@@ -50,7 +55,8 @@
   std::vector<ServiceRule> services_;
   std::int64_t maxBodyBytes_ = 0;
 
-  /** The queue of a request: its host, and the longest prefix of its path. */
+  /** Returns the queue of a request: same host, longest matching path prefix.
+   */
   const QueueRule* Match(std::string_view aHost, std::string_view aPath) const;
 
   const QueueRule* FindQueue(std::string_view aKey) const;
--- a/Source/Version/JsonGuard.cxx
+++ b/Source/Version/JsonGuard.cxx
@@ -10,7 +10,8 @@
 constexpr std::size_t kMaxDepth = 16;
 constexpr std::string_view kNumberCharacters = "0123456789+-.eE";
 
-/** The end of a string that starts at a quote, just behind its last quote. */
+/** Returns the position after the closing quote of the string whose opening
+ * quote is at aStart. */
 std::size_t
 EndOfString(std::string_view aText, std::size_t aStart)
 {
@@ -39,7 +40,7 @@
       const std::size_t stop =
         end == std::string_view::npos ? aText.size() : end;
       if (stop - at > kMaxNumberLength) {
-        return "it holds a number of more than 32 characters.";
+        return "it contains a number of more than 32 characters.";
       }
       at = stop;
       continue;
@@ -50,7 +51,7 @@
       --depth;
     }
     if (depth > kMaxDepth) {
-      return "it is nested more than 16 deep.";
+      return "it is nested more than 16 levels deep.";
     }
     ++at;
   }
--- a/Source/Version/JsonGuard.h
+++ b/Source/Version/JsonGuard.h
@@ -6,12 +6,13 @@
 namespace cactusrail {
 
 /**
- * What in a text would harm the JSON library; empty if nothing would.
+ * Returns a description of input that is unsafe for the JSON library; empty if
+ * the text is safe.
  *
- * A number of some hundred digits makes the library's number reader read beyond
- * its tables, and a text of nothing but opening brackets overflows the stack.
- * So numbers of more than 32 characters and nesting deeper than 16 are refused
- * before the library sees them.
+ * A number of several hundred digits makes the library's number parser read
+ * beyond its tables, and a text of only opening brackets overflows the stack.
+ * Numbers of more than 32 characters and nesting deeper than 16 levels are
+ * therefore refused before the text is parsed.
  */
 std::string
 FindJsonHazard(std::string_view aText);
--- a/Source/Version/JsonText.h
+++ b/Source/Version/JsonText.h
@@ -15,7 +15,8 @@
 
 namespace cactusrail {
 
-/** A record as one line of JSON, with the names that its serialize() gives. */
+/** Encodes a record as one line of JSON, with the names that its serialize()
+ * uses. */
 template<typename Record>
 std::string
 ToJson(const Record& aRecord)
@@ -31,7 +32,8 @@
   return text;
 }
 
-/** A record from JSON, or a sentence that names what is missing or wrong. */
+/** Parses a record from JSON. The failure's message names what is missing or
+ * invalid. */
 template<typename Record>
 Result<Record>
 FromJson(std::string_view aText)
@@ -39,7 +41,7 @@
   const std::string hazard = FindJsonHazard(aText);
   if (!hazard.empty()) {
     return NotRun(FailureKind::BadInput,
-                  "The JSON text can't be taken: " + hazard);
+                  "The JSON text is not accepted: " + hazard);
   }
   try {
     std::istringstream stream{ std::string(aText) };
@@ -49,7 +51,8 @@
     return record;
   } catch (const std::exception& error) {
     return NotRun(FailureKind::BadInput,
-                  std::string("The JSON text can't be read: ") + error.what());
+                  std::string("The JSON text can't be parsed: ") +
+                    error.what());
   }
 }
 
--- a/Source/Version/RecordCodec.h
+++ b/Source/Version/RecordCodec.h
@@ -12,7 +12,7 @@
 
 namespace cactusrail {
 
-/** A record as bytes for the table service. */
+/** Encodes a record as bytes for the table service. */
 template<typename Record>
 std::string
 EncodeRecord(const Record& aRecord)
@@ -26,7 +26,8 @@
   return std::move(stream).str();
 }
 
-/** A record from such bytes; lengths are checked before memory is taken. */
+/** Decodes a record from bytes of EncodeRecord(). Lengths are checked before
+ * memory is allocated. */
 template<typename Record>
 Result<Record>
 DecodeRecord(std::string_view aBytes)
@@ -39,7 +40,7 @@
     return record;
   } catch (const std::exception& error) {
     return NotRun(FailureKind::BadInput,
-                  std::string("The record can't be read: ") + error.what());
+                  std::string("The record can't be decoded: ") + error.what());
   }
 }
 
--- a/Source/Version/TableRows.h
+++ b/Source/Version/TableRows.h
@@ -12,7 +12,7 @@
 struct TableRow
 {
   std::string key_;
-  /** Rises with every write of the row; 0 means that there is no such row. */
+  /** Increases with every write of the row; 0 means that the row is absent. */
   std::uint64_t revision_ = 0;
   std::string value_;
 
@@ -25,7 +25,7 @@
   }
 };
 
-/** A row must be at this revision (0: absent) for a transaction to apply. */
+/** Condition of a transaction: the row must be at this revision (0: absent). */
 struct RowCondition
 {
   std::string key_;
@@ -51,7 +51,7 @@
   }
 };
 
-/** Writes that apply together, if all conditions hold. */
+/** Writes and deletions that apply atomically if all conditions hold. */
 struct TableTransaction
 {
   std::vector<RowCondition> conditions_;
@@ -67,12 +67,12 @@
   }
 };
 
-/** How a transaction ended. */
+/** Result of a transaction. */
 struct TableOutcome
 {
   bool applied_ = false;
-  /** If applied: the written rows' new revisions, values left out. If not: the
-   * rows whose conditions failed, as they are. */
+  /** If applied: the new revisions of the written rows, without values. If not:
+   * the current rows whose conditions failed. */
   std::vector<TableRow> rows_;
 
   template<class Archive>
@@ -82,7 +82,7 @@
   }
 };
 
-/** The answer to a read. */
+/** Response to a read. */
 struct TableListing
 {
   std::vector<TableRow> rows_;
--- a/Source/Version/TaskKey.h
+++ b/Source/Version/TaskKey.h
@@ -7,7 +7,7 @@
 
 namespace cactusrail {
 
-/** Which task of which occurrence of a job. */
+/** Identifies a task of an occurrence of a job. */
 struct TaskKey
 {
   std::string job_;
@@ -17,10 +17,10 @@
 
   bool operator==(const TaskKey&) const = default;
 
-  /** "JOB.OCCURRENCE.STEP.INDEX". */
+  /** Returns "JOB.OCCURRENCE.STEP.INDEX". */
   std::string Text() const;
 
-  /** The name in a text of that form; none for any other text. */
+  /** Parses the form that Text() returns; none for any other text. */
   static std::optional<TaskKey> Parse(std::string_view aText);
 };
 
--- a/Source/Version/TaskStanding.cxx
+++ b/Source/Version/TaskStanding.cxx
@@ -16,10 +16,11 @@
     case TaskState::Held:
       return epoch + ", held by cell " + aTask.cell_;
     case TaskState::Parked:
-      return "its last run was cut off and it is not idempotent; an "
-             "operator's resume starts it again";
+      return "its last run was interrupted and it is not idempotent; resume "
+             "the job to start it again";
     default:
-      return aOver ? "it was not started again" : epoch + ", waits for room";
+      return aOver ? "it was not started again"
+                   : epoch + ", waiting for capacity";
   }
 }
 
--- a/Source/Version/TaskStanding.h
+++ b/Source/Version/TaskStanding.h
@@ -8,22 +8,22 @@
 
 namespace cactusrail {
 
-/** A task's name taken apart. */
+/** A parsed task name. */
 struct TaskName
 {
   std::string jobId_;
   std::uint32_t index_ = 0;
 };
 
-/** None if the text is not "JOB.INDEX". */
+/** Parses "JOB.INDEX"; none for any other text. */
 std::optional<TaskName>
 ParseTaskName(const std::string& aText);
 
 /**
- * What the job's row alone says of a task, as a step for explain. It holds when
- * every entry that saw the task is gone. Not conclusive while a cell holds the
- * task, for the row does not tell whether it has begun. None if there is no
- * such task.
+ * Returns the state of a task that the job's row alone proves, as a step for
+ * explain. It stays available after every entry that handled the task is gone.
+ * The step is not conclusive while a cell holds the task, because the row does
+ * not record whether the task has started. None if the task does not exist.
  */
 std::optional<RequestStep>
 StandingOf(const JobRow& aJob, bool aOver, std::uint32_t aIndex);
--- a/Source/Version/WorkRecords.h
+++ b/Source/Version/WorkRecords.h
@@ -10,10 +10,10 @@
 
 namespace cactusrail {
 
-/** What a worker has, or a task takes. */
+/** Resources of a worker, or resource demand of a task. */
 struct Resources
 {
-  /** Thousandths of a processor. */
+  /** CPU, in thousandths of a core. */
   std::int64_t milliCpus_ = 0;
   std::int64_t memoryMb_ = 0;
   std::int64_t accelerators_ = 0;
@@ -36,7 +36,7 @@
     return *this;
   }
 
-  /** Whether this much fits beside what is taken already. */
+  /** Whether this demand fits into aCapacity in addition to aTaken. */
   bool FitsIn(const Resources& aCapacity, const Resources& aTaken) const
   {
     return aTaken.milliCpus_ + milliCpus_ <= aCapacity.milliCpus_ &&
@@ -45,30 +45,33 @@
   }
 };
 
-/** What kind of work a task does. */
+/** Kind of work of a task. */
 enum class WorkKind : std::uint8_t
 {
   /** A replica of a service: urgent. */
   Service = 0,
   Batch = 1,
-  /** Stays open until it is stopped: a listing watcher, a reconciliation. */
+  /** Runs until it is stopped, such as a listing watcher or a reconciliation.
+   */
   Watcher = 2,
 };
 
-/** What an operator asked for when creating work. */
+/** Specification of a job, as given by the operator that created it. */
 struct JobSpec
 {
   std::string id_;
   WorkKind kind_ = WorkKind::Batch;
   std::string tenant_;
-  /** What it runs; tasks of one program are expected to behave alike. */
+  /** Program that the tasks run; tasks of one program are expected to behave
+   * alike. */
   std::string program_;
   Labels labels_;
   bool idempotent_ = false;
   std::uint32_t tasks_ = 1;
-  /** Per task, as declared; may be far off. */
+  /** Declared resource demand of one task; may be inaccurate. */
   Resources declared_;
-  /** Per task, as declared; may be far off. 0 for what does not end. */
+  /** Declared duration of one task, in ms; may be inaccurate. 0 for tasks that
+   * run until they are stopped. */
   std::uint64_t declaredRunMs_ = 0;
 
   template<class Archive>
@@ -97,7 +100,7 @@
   std::string dataCentre_;
   std::string rack_;
   Resources capacity_;
-  /** Changes with every start of the worker. */
+  /** Differs with every start of the worker. */
   std::uint64_t incarnation_ = 0;
 
   template<class Archive>
--- a/Source/Version/WorkRows.h
+++ b/Source/Version/WorkRows.h
@@ -12,10 +12,11 @@
 namespace cactusrail {
 
 /**
- * The rows of the table service that hold work: "job/ID" (open jobs),
- * "done/ID" (ended jobs), "cell/NAME" (who may place work on the workers of a
- * rack, and what is reserved there) and "operation/ID" (what an operator's
- * verb came to). docs/design/work.md tells who writes which.
+ * Rows of the table service that store work: "job/ID" (open jobs), "done/ID"
+ * (ended jobs), "cell/NAME" (the entry that may place work on the workers of a
+ * rack, and the reservations there) and "operation/ID" (the outcome of an
+ * operator's verb). docs/design/work.md describes which component writes which
+ * row.
  */
 
 constexpr const char* kJobPrefix = "job/";
@@ -25,44 +26,45 @@
 constexpr const char* kEntryPrefix = "entry/";
 constexpr const char* kOperationPrefix = "operation/";
 
-/** What operators want of a job. */
+/** Target state of a job, as set by operators. */
 enum class Wanted : std::uint8_t
 {
   Run = 0,
-  /** Nothing starts; what runs is checkpointed and stopped. */
+  /** No task starts; running tasks are checkpointed and stopped. */
   Paused = 1,
-  /** Nothing starts; what runs goes on to its end. */
+  /** No task starts; running tasks continue to their end. */
   Drained = 2,
-  /** For good: what runs is checkpointed and stopped. */
+  /** Final: running tasks are checkpointed and stopped. */
   Stopped = 3,
-  /** For good: what runs is stopped at once. */
+  /** Final: running tasks are stopped at once. */
   Cancelled = 4,
 };
 
-/** Where a task stands that is neither untouched nor ended. */
+/** State of a task that has been placed at least once and has not ended. */
 enum class TaskState : std::uint8_t
 {
-  /** Waits to be placed. */
+  /** Waiting for placement. */
   Pending = 0,
-  /** A cell has reserved room for it; it may be running. */
+  /** A cell holds a reservation for the task, which may be running. */
   Held = 1,
-  /** It may have run and can't be run twice; an operator decides. */
+  /** The task may have run and must not run twice; only an operator restarts
+   * it. */
   Parked = 2,
 };
 
-/** A task of a job that has been touched and has not ended. */
+/** A task of a job that has been placed at least once and has not ended. */
 struct TaskRecord
 {
   std::uint32_t index_ = 0;
   TaskState state_ = TaskState::Pending;
-  /** Of the next start, or of the present one while Held. */
+  /** Epoch of the next start, or of the current start while Held. */
   std::uint64_t epoch_ = 1;
   /** The cell that holds it. */
   std::string cell_;
-  /** What the next start resumes from; empty for the beginning. */
+  /** Checkpoint that the next start resumes from; empty for the beginning. */
   std::string checkpoint_;
   std::uint32_t failures_ = 0;
-  /** What the earlier epochs say together. */
+  /** Combined verdict of the earlier epochs. */
   Verdict verdict_ = Verdict::DidNotRun;
 
   template<class Archive>
@@ -82,17 +84,18 @@
   }
 };
 
-/** A job: what was asked for, and what became of its tasks so far. */
+/** A job: its specification and the progress of its tasks. */
 struct JobRow
 {
   JobSpec spec_;
   Wanted wanted_ = Wanted::Run;
-  /** Tasks from this index on have never been touched. */
+  /** Index of the first task that has never been placed; neither have the
+   * tasks after it. */
   std::uint32_t fresh_ = 0;
   std::vector<TaskRecord> open_;
   std::uint32_t completed_ = 0;
   std::uint32_t failed_ = 0;
-  /** Ended by stop or cancel. */
+  /** Number of tasks that were ended by stop or cancel. */
   std::uint32_t ended_ = 0;
 
   template<class Archive>
@@ -110,7 +113,7 @@
   }
 };
 
-/** Room on a worker that is counted as taken by a task. */
+/** Resources of a worker that are reserved for a task. */
 struct Reservation
 {
   std::string jobId_;
@@ -122,7 +125,7 @@
   std::string workerId_;
   std::uint64_t workerIncarnation_ = 0;
   Resources resources_;
-  /** The latest checkpoint of this epoch that a write has recorded. */
+  /** Latest recorded checkpoint of this epoch. */
   std::string checkpoint_;
 
   template<class Archive>
@@ -143,13 +146,14 @@
   }
 };
 
-/** The workers of one rack: which entry may place there, and what is taken. */
+/** The workers of one rack: the entry that may place tasks on them, and the
+ * reservations. */
 struct CellRow
 {
-  /** Empty if none. */
+  /** Name of the owning entry; empty if none. */
   std::string owner_;
   std::uint64_t ownerIncarnation_ = 0;
-  /** Rises with every change of owner; workers refuse lower ones. */
+  /** Increases with every change of owner; workers refuse lower epochs. */
   std::uint64_t epoch_ = 0;
   /** Differs with every write of the owner. */
   std::uint64_t beat_ = 0;
@@ -166,14 +170,14 @@
   }
 };
 
-/** "JOB.INDEX": how operators and workers name a task. */
+/** Returns "JOB.INDEX", the name of a task for operators and workers. */
 inline std::string
 TaskId(const std::string& aJobId, std::uint32_t aIndex)
 {
   return aJobId + "." + std::to_string(aIndex);
 }
 
-/** The cell of a worker: its rack. */
+/** Returns the cell of a worker, which is its rack. */
 inline std::string
 CellName(const WorkerRow& aWorker)
 {
--- a/Source/Version/WorkVerbs.cxx
+++ b/Source/Version/WorkVerbs.cxx
@@ -48,7 +48,8 @@
     });
 }
 
-/** Changes the job as the verb says, or leaves it and says why. */
+/** Applies the verb to the job. If the job stays unchanged, the outcome gives
+ * the reason. */
 JobOutcome
 ChangeJob(JobLedger& aJob, Wanted aWanted)
 {
@@ -56,8 +57,8 @@
   const Wanted before = row.wanted_;
   JobOutcome outcome;
   outcome.jobId_ = row.spec_.id_;
-  // Cancel goes before stop, and both before all others, in whatever order
-  // racing operators arrive; none of them brings a job back.
+  // Cancel overrides stop, and both override all other verbs, in whatever order
+  // concurrent requests arrive. No verb reactivates a stopped or cancelled job.
   const bool ended = before == Wanted::Stopped || before == Wanted::Cancelled;
   const bool stronger =
     before == Wanted::Stopped && aWanted == Wanted::Cancelled;
@@ -117,7 +118,7 @@
       return Refuse(kBadRequest, "The declared size must not be negative.");
     }
     if (spec.tasks_ == 0 || spec.tasks_ > kMaxTasks) {
-      return Refuse(kBadRequest, "A job has 1 to 1000000 tasks.");
+      return Refuse(kBadRequest, "The job must have 1 to 1000000 tasks.");
     }
     if (!facts_.quotas_.empty() && !facts_.quotas_.contains(spec.tenant_)) {
       return Refuse(kBadRequest,
@@ -146,9 +147,9 @@
                   mayHaveTakenEffect_
                     ? "The table service does not answer; the operation may "
                       "have taken effect. Repeat it with the same operation "
-                      "id to learn its one outcome."
+                      "id to get its outcome."
                     : "The table service does not answer or the jobs change "
-                      "too fast; nothing was changed. Repeat the operation.");
+                      "too often; nothing was changed. Repeat the operation.");
   }
   stage_ = Stage::Operation;
   return VerbRead{ kOperationPrefix + request_.operationId_ };
@@ -159,7 +160,7 @@
 {
   for (const TableRow& row : aRows) {
     TableRow& known = rows_[row.key_];
-    // A read may answer from the past; what a refused write showed stands.
+    // A read may return stale data; rows of a refused write are current.
     if (aCertain || row.revision_ > known.revision_) {
       known = row;
     }
@@ -266,13 +267,16 @@
                          "The job '" + spec.id_ +
                            "' was created before by another operation.")
                 : Refuse(kConflict,
-                         "There is another job of the id '" + spec.id_ + "'.");
+                         "Another job with the id '" + spec.id_ +
+                           "' exists. Choose a different id.");
   }
   if (workers_.empty()) {
     return Refuse(kUnavailable,
-                  "No worker is registered; nothing was created. Try later.");
+                  "No worker is registered; the job was not created. Try "
+                  "again later.");
   }
-  // Such a job would wait for ever and look as if it only had to wait.
+  // A job that fits on no worker would wait forever and could not be told apart
+  // from one that waits for capacity.
   const bool possible = std::any_of(
     workers_.begin(), workers_.end(), [&spec](const WorkerRow& aWorker) {
       return Fits(spec.declared_, aWorker);
@@ -319,7 +323,8 @@
     }
     JobLedger ledger(*job);
     outcome.jobs_.push_back(ChangeJob(ledger, wanted));
-    // The answer states what the job was: it must still be so when it applies.
+    // The outcome states the job's previous state, so the row must be unchanged
+    // when the transaction applies.
     transaction.conditions_.push_back({ key, row.revision_ });
     if (!outcome.jobs_.back().changed_) {
       continue;
@@ -350,8 +355,8 @@
 VerbSession::OnWritten(const Result<TableOutcome>& aOutcome)
 {
   if (const auto* failure = std::get_if<Failure>(&aOutcome)) {
-    // The write may have applied. Its row tells, and if it applies only later,
-    // the next try finds it in its way.
+    // The write may have applied, which the next read of its operation row
+    // shows. If it applies only later, the condition of the next attempt fails.
     mayHaveTakenEffect_ =
       mayHaveTakenEffect_ || failure->verdict_ != Verdict::DidNotRun;
     return Again();
--- a/Source/Version/WorkVerbs.h
+++ b/Source/Version/WorkVerbs.h
@@ -15,16 +15,17 @@
 
 namespace cactusrail {
 
-/** What an operator asks of work. */
+/** An operator's request to create or change jobs. */
 struct VerbRequest
 {
-  /** Chosen by the operator; a repeat returns the first outcome. */
+  /** Idempotency key chosen by the operator; a repeated request returns the
+   * first outcome. */
   std::string operationId_;
   /** create, pause, resume, drain, stop or cancel. */
   std::string verb_;
-  /** Which jobs; not used by create. */
+  /** Selects the jobs; not used by create. */
   std::string selector_;
-  /** Used by create alone. */
+  /** Used only by create. */
   JobSpec spec_;
 
   template<class Archive>
@@ -37,7 +38,7 @@
   }
 };
 
-/** What a verb came to for one job. */
+/** Outcome of a verb for one job. */
 struct JobOutcome
 {
   std::string jobId_;
@@ -55,7 +56,7 @@
   }
 };
 
-/** The row "operation/ID": written with the changes, in one transaction. */
+/** The row "operation/ID", written in the same transaction as the changes. */
 struct OperationRow
 {
   VerbRequest request_;
@@ -68,25 +69,26 @@
   }
 };
 
-/** What create checks a job against. */
+/** Facts that create validates a job against. */
 struct CreationFacts
 {
-  /** Tenants and their quotas in thousandths of processors; 0: no bound. */
+  /** CPU quotas by tenant, in thousandths of a core; 0 means no limit. */
   std::map<std::string, std::int64_t> quotas_;
 };
 
-/** What a verb session asks next of its I/O layer. */
+/** Next step of a verb session: requests a read of all rows with the prefix. */
 struct VerbRead
 {
   std::string prefix_;
 };
 
+/** Next step of a verb session: requests a transaction. */
 struct VerbWrite
 {
   TableTransaction transaction_;
 };
 
-/** The end: an HTTP status, and a row or a message. */
+/** Last step of a verb session: an HTTP status and a row or a message. */
 struct VerbAnswer
 {
   int status_ = 200;
@@ -97,10 +99,11 @@
 using VerbStep = std::variant<VerbRead, VerbWrite, VerbAnswer>;
 
 /**
- * One operator's verb from its arrival to its answer. Pure. Every verb has one
- * outcome: its changes and the outcome's row are written together, on the
- * condition that no operation of that id was written before. So a repeat, a
- * retry after a lost answer and a race of both find the first outcome.
+ * Processes one operator's verb from its arrival to its response. Performs no
+ * I/O. Every verb has exactly one outcome: its changes and the outcome's row
+ * are written in one transaction, on condition that no operation with that id
+ * was written before. A repeat, a retry after a lost answer and a race of both
+ * therefore return the first outcome.
  */
 class VerbSession
 {
--- a/Source/Version/WorkerMessages.h
+++ b/Source/Version/WorkerMessages.h
@@ -12,9 +12,10 @@
 namespace cactusrail {
 
 /**
- * What an entry and a worker say to each other, as JSON over HTTP. Clocks and
+ * Messages between an entry and a worker, as JSON over HTTP. Clock values and
  * deadlines are microseconds of the worker's own monotonic clock, which also
- * counts while the host sleeps: only the holder of a lease can enforce it.
+ * advances while the host is suspended, because only the holder of a lease can
+ * enforce it.
  */
 
 /** How a start of a task ended. */
@@ -22,20 +23,21 @@
 {
   Completed = 0,
   Failed = 1,
-  /** Stopped as told; the checkpoint, if any, is its last word. */
+  /** Stopped by command; the checkpoint, if any, covers all of its work. */
   Stopped = 2,
   /** The worker stopped it because its lease ran out. */
   LeaseExpired = 3,
-  /** It was never begun, and will not be. */
+  /** The task never started and never will under this epoch. */
   NeverStarted = 4,
 };
 
-/** Who commands: the worker refuses a lower epoch than it has seen. */
+/** Sender of a command. The worker refuses an epoch lower than the highest one
+ * that it has received. */
 struct CommandOrigin
 {
   std::string cell_;
   std::uint64_t cellEpoch_ = 0;
-  /** The worker's incarnation that is meant; another one refuses. */
+  /** Incarnation that the command is addressed to; other ones refuse it. */
   std::uint64_t workerIncarnation_ = 0;
 
   template<class Archive>
@@ -67,8 +69,8 @@
   }
 };
 
-/** POST /v1/renew: these tasks may run until then; others keep what they have.
- */
+/** POST /v1/renew: extends the listed tasks' leases to until_; the leases of
+ * other tasks are unchanged. */
 struct RenewCommand
 {
   static constexpr const char* kPath = "/v1/renew";
@@ -76,7 +78,7 @@
   CommandOrigin origin_;
   std::int64_t until_ = 0;
   std::vector<TaskRef> tasks_;
-  /** Ended starts whose end is recorded; the worker need not report them. */
+  /** Ended starts whose end is recorded; the worker stops reporting them. */
   std::vector<TaskRef> forget_;
 
   template<class Archive>
@@ -89,7 +91,7 @@
   }
 };
 
-/** POST /v1/start: a worker begins each task and epoch once at most. */
+/** POST /v1/start: a worker starts each pair of task and epoch at most once. */
 struct StartCommand
 {
   static constexpr const char* kPath = "/v1/start";
@@ -115,7 +117,7 @@
   }
 };
 
-/** POST /v1/stop: ends a start, or keeps it from ever beginning. */
+/** POST /v1/stop: ends a start, or prevents it if it has not begun. */
 struct StopCommand
 {
   static constexpr const char* kPath = "/v1/stop";
@@ -135,7 +137,7 @@
 
 using WorkerCommand = std::variant<RenewCommand, StartCommand, StopCommand>;
 
-/** A task that the worker runs. */
+/** A running task in a worker's report. */
 struct ReportedTask
 {
   TaskRef task_;
@@ -151,7 +153,7 @@
   }
 };
 
-/** A start that ended; reported until it is to be forgotten. */
+/** An ended start; reported until RenewCommand::forget_ lists it. */
 struct EndedTask
 {
   TaskRef task_;
@@ -169,18 +171,18 @@
   }
 };
 
-/** The answer to every command, and to GET /v1/status. */
+/** Response to every command and to GET /v1/status. */
 struct WorkerReport
 {
   std::string workerId_;
   std::uint64_t incarnation_ = 0;
   std::int64_t clock_ = 0;
-  /** The highest epoch of its cell that it has seen. */
+  /** Highest epoch of its cell that the worker has received. */
   std::uint64_t cellEpoch_ = 0;
-  /** Empty if the command was taken; else a whole sentence. */
+  /** Empty if the command was accepted; otherwise a whole sentence. */
   std::string refused_;
   Resources capacity_;
-  /** Lags behind what runs. */
+  /** Measured usage; lags behind the running tasks. */
   Resources used_;
   std::vector<ReportedTask> running_;
   std::vector<EndedTask> ended_;
