--- a/Source/Version/TaskStanding.cxx
+++ b/Source/Version/TaskStanding.cxx
@@ -16,11 +16,10 @@
     case TaskState::Held:
       return epoch + ", held by cell " + aTask.cell_;
     case TaskState::Parked:
-      return "its last run was interrupted and it is not idempotent; resume "
-             "the job to start it again";
+      return "its last run was interrupted and it is not idempotent; an "
+             "operator must resume the job to start it again";
     default:
-      return aOver ? "it was not started again"
-                   : epoch + ", waiting for capacity";
+      return aOver ? "it was not started again" : epoch + ", waits for room";
   }
 }
 
--- a/Source/Version/WorkVerbs.cxx
+++ b/Source/Version/WorkVerbs.cxx
@@ -267,8 +267,8 @@
                          "The job '" + spec.id_ +
                            "' was created before by another operation.")
                 : Refuse(kConflict,
-                         "Another job with the id '" + spec.id_ +
-                           "' exists. Choose a different id.");
+                         "Choose a different id; another job has the id '" +
+                           spec.id_ + "'.");
   }
   if (workers_.empty()) {
     return Refuse(kUnavailable,
--- a/Tests/Golden/ConfigurationGoldenTest.cxx
+++ b/Tests/Golden/ConfigurationGoldenTest.cxx
@@ -25,7 +25,8 @@
 
 }
 
-// Each session's story stands at the head of its script.
+// The comment at the head of each script describes the failure that it guards
+// against.
 Test(Golden, Promise9ConfigurationIsInForceAndNeverReverts)
 {
   std::vector<std::filesystem::path> scripts;
--- a/Tests/Golden/ConfigurationSession.cxx
+++ b/Tests/Golden/ConfigurationSession.cxx
@@ -22,7 +22,7 @@
   std::uint64_t nextNonce_ = 1;
 };
 
-/** A write that the table holds back. */
+/** A write that the table delays. */
 struct HeldWrite
 {
   WriteConfigurationRow write_;
@@ -82,7 +82,8 @@
   bool past_ = false;
   bool cut_ = false;
   std::vector<HeldWrite> held_;
-  /** Versions that an operator was told are accepted, with their text. */
+  /** Versions that were confirmed to an operator as accepted, with their text.
+   */
   std::map<std::uint64_t, std::string> accepted_;
   std::map<std::string, std::string> changes_;
   std::ostringstream transcript_;
@@ -199,7 +200,7 @@
   Print(aEntry,
         "puts " + VersionText(taken) + " in force, from " + aAction.source_);
   if (taken.version_ <= entry.highest_) {
-    Break(aEntry + " went back from version " + std::to_string(entry.highest_) +
+    Break(aEntry + " reverted from version " + std::to_string(entry.highest_) +
           " to " + std::to_string(taken.version_));
   }
   entry.highest_ = taken.version_;
--- a/Tests/Golden/ConfigurationSession.h
+++ b/Tests/Golden/ConfigurationSession.h
@@ -7,28 +7,28 @@
 namespace cactusrail {
 
 /**
- * Entries that decide on their configuration with the daemons' own
- * ConfigurationVersion, on a virtual clock, with a table that fails as told.
- * A script has one command a line; "#" starts a comment:
+ * Runs entries with the daemons' ConfigurationVersion on a virtual clock, with
+ * a table service whose faults a script controls. A script has one command per
+ * line; "#" starts a comment:
  *
- *   start ENTRY               the process begins, knowing nothing
+ *   start ENTRY               starts the process without any state
  *   kill ENTRY
- *   run MS                    time passes in ticks of 100 ms
- *   put ENTRY NAME VERSION    an operator's change; NAME is its tenant
- *   put-bad ENTRY VERSION     a change that does not validate
+ *   run MS                    advances time in ticks of 100 ms
+ *   put ENTRY NAME VERSION    submits an operator's change; NAME is its tenant
+ *   put-bad ENTRY VERSION     submits an invalid change
  *   table up|down             down: calls fail, nothing is applied
  *   table lose-answers        writes take effect, their answers fail
- *   table delay-writes        writes wait ...
- *   table release             ... and are applied now, without an answer
- *   table remember|restore    keep a copy of the row, put it back
- *   table past|present        reads answer from the copy, or from the row
- *   table corrupt             the row becomes unreadable
- *   peer FROM TO              TO hears FROM's version, and asks if it is higher
- *   cut|heal                  entries hear each other no more, or again
- *   check                     prints what is in force everywhere
+ *   table delay-writes        writes are delayed and get no answer
+ *   table release             applies the delayed writes, without an answer
+ *   table remember|restore    saves a copy of the row, restores the copy
+ *   table past|present        reads return the copy, or the row
+ *   table corrupt             makes the row unreadable
+ *   peer FROM TO              TO receives FROM's version; asks if it is higher
+ *   cut|heal                  disconnects the entries, connects them again
+ *   check                     prints each entry's configuration in force
  *
- * After each line, broken promises are collected: a version in force that went
- * down, or a change that was accepted and is in force nowhere.
+ * Broken promises are collected: a version in force that decreased, or an
+ * accepted change that an entry lacks at a check.
  */
 class ConfigurationSession
 {
@@ -39,7 +39,7 @@
   void Run(std::string_view aScript);
 
   const std::string& Transcript() const;
-  /** Promises that were broken, one a line; empty if none. */
+  /** Returns the broken promises, one per line; empty if none. */
   const std::string& Broken() const;
 
 private:
--- a/Tests/Golden/WorkWorld.h
+++ b/Tests/Golden/WorkWorld.h
@@ -21,10 +21,10 @@
 #include <vector>
 
 /**
- * Entries' scheduler cores, workers and a table service on one virtual clock,
- * for golden sessions and random schedules of work. Every process has a clock
- * of its own that starts elsewhere and drifts. The world sees what truly runs
- * and checks the promises at every start, end and write.
+ * Simulates the entries' scheduler cores, workers and a table service on one
+ * virtual clock, for golden sessions and random schedules of work. Every
+ * process has its own clock with an offset and a drift. The simulation tracks
+ * which tasks really run and checks the promises at every start, end and write.
  */
 class WorkWorld
 {
@@ -35,13 +35,15 @@
   {
     cactusrail::WorkTimings timings_;
     Micros64 tick_ = 100000;
-    /** 0: every message takes a millisecond and none is lost. */
+    /** 0: clocks do not differ, every message takes a millisecond and none is
+     * lost. */
     std::uint32_t seed_ = 0;
     double lost_ = 0;
     double late_ = 0;
-    /** Whether to keep a transcript. */
+    /** Whether to record a transcript. */
     bool traced_ = true;
-    /** Makes each start's placement from its seed; none: first fit. */
+    /** Creates the placement of each entry incarnation from a seed; first fit
+     * if empty. */
     std::function<std::unique_ptr<cactusrail::PlacementChooser>(std::uint64_t)>
       chooser_;
   };
@@ -108,7 +110,7 @@
     }
   }
 
-  /** A promise did not hold; the parts are one sentence. */
+  /** Records a broken promise; the parts form one sentence. */
   template<typename... Parts>
   void Break(const Parts&... aParts)
   {
@@ -234,7 +236,7 @@
     worker.tasks_ = nullptr;
   }
 
-  /** The registered process is replaced while the old one still runs. */
+  /** Replaces the registered process while the old one still runs. */
   void SplitWorker(const std::string& aId)
   {
     Worker& worker = workers_.at(aId);
@@ -291,14 +293,14 @@
     Advance(aEntry, session, aRequest, session->Begin());
   }
 
-  /** From now on no message is lost or late. */
+  /** Disables loss and delay of messages from now on. */
   void Calm()
   {
     options_.lost_ = 0;
     options_.late_ = 0;
   }
 
-  /** Whether everything is as it must be once all faults are over. */
+  /** Checks that no task is stuck after all faults have ended. */
   void CheckSettled()
   {
     for (const auto& [key, row] : rows_) {
@@ -316,7 +318,8 @@
     }
   }
 
-  /** What explain says of each task from its row alone, beside the truth. */
+  /** Compares the verdict that explain derives from each task's row alone with
+   * what really ran. */
   void CheckStandings()
   {
     for (const auto& [key, row] : rows_) {
@@ -331,14 +334,15 @@
         ++standings_[step->verdict_];
         if (step->verdict_ ==
             (ran ? cactusrail::Verdict::DidNotRun : cactusrail::Verdict::Ran)) {
-          Break("of task " + step->requestId_ + " explain says: " +
+          Break("explain gives task " + step->requestId_ +
+                " the wrong verdict: " +
                 std::string(cactusrail::VerdictText(step->verdict_)));
         }
       }
     }
   }
 
-  /** How often explain gave each verdict. */
+  /** Returns how often explain gave each verdict. */
   const std::map<cactusrail::Verdict, std::uint64_t>& Standings() const
   {
     return standings_;
@@ -367,7 +371,8 @@
     std::uint64_t starts_ = 0;
     bool completed_ = false;
     bool resumedByOperator_ = false;
-    /** The last end; empty while it runs or if it died with its worker. */
+    /** Result of the last end; empty while the task runs or if its worker was
+     * killed. */
     std::string end_;
     std::string checkpoint_;
   };
@@ -406,7 +411,7 @@
     At(now_ + options_.tick_, [this, aName] { TickEntry(aName); });
   }
 
-  /** Takes the place of EntryPresence. */
+  /** Simulates EntryPresence: renews the entry's row. */
   void TickPresence(const std::string& aName)
   {
     const Entry& entry = entries_.at(aName);
@@ -429,7 +434,8 @@
     At(now_ + 50000, [this, aId] { TickWorker(aId); });
   }
 
-  /** Runs in the entry's present life, when it is not frozen. */
+  /** Runs an event in the entry once it is not frozen. Drops the event if the
+   * entry's incarnation has changed. */
   void Deliver(const std::string& aEntry,
                std::uint64_t aLife,
                const std::function<void(Entry&)>& aEvent)
@@ -488,7 +494,8 @@
         "): " + std::string(cactusrail::VerdictText(step.verdict_)));
     if (step.verdict_ == cactusrail::Verdict::DidNotRun &&
         history_[step.requestId_].starts_ > 0) {
-      Break("task " + step.requestId_ + " ran, and explain says it did not");
+      Break("task " + step.requestId_ +
+            " ran, but explain reports that it did not run");
     }
   }
 
@@ -586,7 +593,7 @@
   {
     return cactusrail::Failure{ cactusrail::FailureKind::TimedOut,
                                 cactusrail::Verdict::MayHaveRun,
-                                "No answer came.",
+                                "No answer was received.",
                                 cactusrail::Millis(0) };
   }
 
@@ -790,8 +797,8 @@
     const bool clean = aHistory.end_ == "stopped" && !aCheckpoint.empty();
     const bool idempotent =
       spec.idempotent_ || operatorResumes_.contains(spec.id_);
-    // Idempotent work may be done again when its worker took the news of its
-    // end with it; once the end is recorded, CheckCounted catches a start.
+    // Idempotent work may run again if its worker was killed before it reported
+    // the end. Once the end is recorded, CheckCounted detects such a start.
     if (aHistory.completed_ && !idempotent) {
       Break("task " + id + " had completed and was started again");
     }
@@ -799,8 +806,8 @@
       Break("task " + id + " may have run (" + aHistory.end_ +
             ") and was started again");
     }
-    // Idempotent work may go back further, if the news of its stop was lost
-    // with its worker.
+    // Idempotent work may resume from an earlier checkpoint if its worker was
+    // killed before it reported the stop.
     if (!idempotent && aCheckpoint != aHistory.checkpoint_) {
       Break("task " + id + " resumed from '" + aCheckpoint +
             "', not from the checkpoint that its stop took");
@@ -854,7 +861,8 @@
     }
   }
 
-  /** What runs is counted, and what is counted fits. */
+  /** Checks that every running task has a reservation and that the reservations
+   * fit the workers' capacities and the tenants' quotas. */
   void CheckCounted(const std::string& aWhen)
   {
     std::set<std::string> counted;
@@ -879,20 +887,20 @@
     }
     for (const auto& [id, taken] : reserved) {
       if (!taken.FitsIn(workers_.at(id).capacity_, {})) {
-        Break("worker ", id, " is given more than it holds at ", aWhen);
+        Break("worker ", id, " has reservations above its capacity at ", aWhen);
       }
     }
     for (const auto& [run, facts] : running_) {
       const std::string key = facts.worker_ + " " + facts.task_.taskId_ + "/" +
                               std::to_string(facts.task_.epoch_);
       if (!IsFrozen(facts.worker_) && !counted.contains(key)) {
-        Break("task ", key, " runs and is not counted at ", aWhen);
+        Break("task ", key, " runs without a reservation at ", aWhen);
       }
     }
   }
 
 public:
-  /** Jobs whose parked tasks an operator has let run again. */
+  /** Jobs whose parked tasks an operator has restarted. */
   std::set<std::string> operatorResumes_;
 
 private:
--- a/Tests/Unit/JobLedgerTest.cxx
+++ b/Tests/Unit/JobLedgerTest.cxx
@@ -19,9 +19,9 @@
 
 }
 
-// A worker was frozen past its lease; its task went elsewhere under the next
-// epoch. Thawed, it reports that the old start completed. Were that believed,
-// the job would count as done while its task still runs.
+// A worker freezes past its lease and its task is started elsewhere under the
+// next epoch. After the thaw the worker reports that the old start completed.
+// Applying that report would complete the job while its task still runs.
 Test(JobLedger, TakesNoEndOfAnOldEpoch)
 {
   JobLedger job = HeldJob(true);
@@ -34,8 +34,8 @@
   cr_assert(job.IsOver());
 }
 
-// Two owners each see the same eviction and write its end. The second end must
-// change nothing: it would raise the epoch again and start the task twice.
+// Two owners process the same eviction and both write its end. Applying the
+// second end would raise the epoch again and start the task twice.
 Test(JobLedger, TakesAnEndOnce)
 {
   JobLedger job = HeldJob(false);
@@ -45,8 +45,8 @@
   cr_assert(job.NextPending()->checkpoint_ == "job.0/1/3");
 }
 
-// A payout batch is stopped, but its checkpoint failed: how far it came is not
-// known, so it waits for an operator.
+// A payout batch is stopped and its checkpoint fails, so that its progress is
+// unknown. Starting it again without an operator could pay twice.
 Test(JobLedger, ParksWhatStoppedWithoutACheckpoint)
 {
   JobLedger job = HeldJob(false);
--- a/Tests/Unit/JsonGuardTest.cxx
+++ b/Tests/Unit/JsonGuardTest.cxx
@@ -5,9 +5,9 @@
 
 using namespace cactusrail;
 
-// Anyone who reaches an HTTP address of ours sends a number of 800 digits. The
-// JSON library reads beyond its table of powers of ten and the process dies
-// with all requests in it. Found by fuzzing the configuration's parser.
+// A client sends a number of 800 digits to an HTTP port. Without the guard the
+// JSON library reads beyond its table of powers of ten, and the process crashes
+// with all its requests. Found by fuzzing the configuration parser.
 Test(JsonGuard, RefusesANumberOfManyDigits)
 {
   const std::string text =
@@ -16,8 +16,8 @@
   cr_assert(!Succeeded(ParseConfiguration(text)));
 }
 
-// The same with a megabyte of opening brackets: the library calls itself for
-// each and the stack ends before the text does.
+// A client sends a megabyte of opening brackets. Without the guard the JSON
+// library recurses once per bracket and overflows the stack.
 Test(JsonGuard, RefusesDeepNesting)
 {
   const std::string text(1U << 20U, '[');
@@ -25,6 +25,8 @@
   cr_assert(!Succeeded(ParseConfiguration(text)));
 }
 
+// Limits on numbers and nesting must not refuse long strings, such as keys in
+// hex.
 Test(JsonGuard, TakesLongDigitsAndBracketsInsideStrings)
 {
   const std::string text =
--- a/Tests/Unit/OwnerLossTest.cxx
+++ b/Tests/Unit/OwnerLossTest.cxx
@@ -1,9 +1,9 @@
-// Payouts stand still until an operator lets them go on, although their worker
-// never failed: the entry that renewed their grants was killed, and the entry
-// that took its cell over reached the worker after the last grant had run out.
-// On processes the adoption came 14.7 s after the kill; grants lasted 15 s from
-// the renewal before it, so "lease-expired" came first and the work, which must
-// not run twice, was parked as "may have run".
+// Payouts are parked as "may have run" although their worker never failed: the
+// entry that renews their grants is killed, and its successor reaches the
+// worker after the last grant has expired. With real processes the adoption
+// took 14.7 s from the kill, but grants lasted 15 s from the last renewal, so
+// that "lease-expired" came first. Work that must not run twice then waits for
+// an operator.
 
 #include "../Golden/WorkWorld.h"
 
@@ -15,19 +15,20 @@
 
 constexpr WorkWorld::Micros64 kMillisecond = 1000;
 constexpr WorkWorld::Micros64 kSecond = 1000 * kMillisecond;
-/** When the owner is killed at first; its beats are 3 s apart. */
+/** Earliest time at which the owner is killed; its beats are 3 s apart. */
 constexpr WorkWorld::Micros64 kFirstKill = 4 * kSecond;
 constexpr WorkWorld::Micros64 kBeat = 3 * kSecond;
 constexpr WorkWorld::Micros64 kKillStep = 250 * kMillisecond;
-/** The users' machines freeze for 3 s (their description of troubles). */
+/** Duration of a freeze; users report that their machines freeze for 3 s. */
 constexpr WorkWorld::Micros64 kStandstill = 3 * kSecond;
-/** Moments of the takeover at which the adopting entry stands still. */
+/** Upper bound and step of the delay between the kill and the freeze of the
+ * adopting entry. */
 constexpr WorkWorld::Micros64 kLatestStandstill = 15 * kSecond;
 constexpr WorkWorld::Micros64 kStandstillStep = 500 * kMillisecond;
-/** The work outlasts every takeover. */
+/** Duration of the tasks, longer than any takeover. */
 constexpr std::uint64_t kRunMs = 40000;
 
-/** Two entries and a worker with a payout batch that e1 started. */
+/** Two entries and a worker with a payout batch that was created through e1. */
 struct Scene
 {
   Scene()
@@ -59,7 +60,8 @@
 
 }
 
-// The owner dies at each moment between two of its beats, nothing else fails.
+// The owner is killed at each time between two of its beats; nothing else
+// fails.
 Test(OwnerLoss, WorkRunsOnWhereverBetweenTwoBeatsTheOwnerDies)
 {
   for (WorkWorld::Micros64 after = 0; after < kBeat; after += kKillStep) {
@@ -75,8 +77,8 @@
   }
 }
 
-// The entry that takes over stands still for three seconds, at each moment of
-// its wait: its host is busy, or answers of the table come late.
+// In addition the entry that takes over freezes for three seconds at each time
+// of its wait, as on a busy host or with late answers of the table.
 Test(OwnerLoss, WorkRunsOnAlthoughTheAdoptingEntryStandsStill)
 {
   for (WorkWorld::Micros64 after = 0; after < kBeat; after += kBeat / 3) {
@@ -92,7 +94,8 @@
       scene.world_.Run(2 * kRunMs * kMillisecond);
       cr_assert(scene.world_.Broken().empty());
       cr_assert_not(scene.Says("lease-expired"),
-                    "killed %lld ms after a beat, stood still from %lld ms on",
+                    "killed %lld ms after a beat, frozen from %lld ms after "
+                    "the kill on",
                     static_cast<long long>(after / kMillisecond),
                     static_cast<long long>(wait / kMillisecond));
       cr_assert(scene.Says("e2 writes cell/dc1/r1 done/payouts"));
--- a/Tests/Unit/WorkCostTest.cxx
+++ b/Tests/Unit/WorkCostTest.cxx
@@ -1,6 +1,6 @@
-// What a task costs in table writes and reads, counted on the virtual clock.
-// At the target's size several thousand leases are renewed all the time: a
-// write for each would be more than the table service takes.
+// Counts the table writes and reads per task on the virtual clock. At the
+// target size several thousand leases are renewed continuously; one write per
+// renewal would overload the table service.
 
 #include "../Golden/WorkWorld.h"
 
@@ -81,6 +81,7 @@
             << world.Reads() - reads << '\n';
   cr_assert(world.Starts() == kTasks);
   cr_assert(world.Rows().contains("done/job"));
-  // One to create, three to place 192 by 64, the rest to release by the tick.
+  // One write creates the job, three place 192 tasks in batches of 64, and the
+  // rest release the tasks that ended in each tick.
   cr_assert(changing <= kTasks / 4);
 }
--- a/Tests/Unit/WorkRandomTest.cxx
+++ b/Tests/Unit/WorkRandomTest.cxx
@@ -1,9 +1,9 @@
-// Thousands of random schedules of work over the entries' own scheduler code:
+// Runs the entries' scheduler code under thousands of random schedules with
 // racing entries, kills, freezes, lost and late answers, a table that is down
-// or answers from the past, replaced workers, operators' verbs repeated and
-// racing. The world checks promises 1 to 3 at every step, and at the end that
-// nothing is stuck. A failure names its seed; WORK_SEED=N runs
-// just that one and prints its transcript.
+// or returns stale data, replaced workers, and repeated and racing verbs of
+// operators. WorkWorld checks promises 1 to 3 at every step and that no task is
+// stuck at the end. A failure prints its seed; WORK_SEED=N runs only that seed
+// and prints its transcript.
 
 #include "../Golden/WorkWorld.h"
 #include "Version/LearnedPlacement.h"
@@ -21,7 +21,7 @@
 #ifdef NDEBUG
 constexpr std::uint32_t kSessionsPerTest = 500;
 #else
-// With sanitizers a session takes many times as long.
+// Sanitizers slow a session down many times.
 constexpr std::uint32_t kSessionsPerTest = 50;
 #endif
 
@@ -45,7 +45,8 @@
   return options;
 }
 
-/** As the entries place: by what the workers' reports have taught. */
+/** Options with the placement of the real entries, which learns from the
+ * workers' reports. */
 WorkWorld::Options
 LearnedOptions(std::uint32_t aSeed)
 {
@@ -75,7 +76,7 @@
   return request;
 }
 
-/** One fault or operators' verb, and the end of the fault later on. */
+/** Schedules one random fault and its later end, or one operator's verb. */
 void
 RandomEvent(WorkWorld& aWorld, int aNumber)
 {
@@ -143,7 +144,7 @@
   }
 }
 
-/** Every fault is over: what wants to run must come to its end. */
+/** Ends all faults, so that every runnable task must reach its end. */
 void
 Heal(WorkWorld& aWorld)
 {
--- a/Tests/Unit/WorkSessionTest.cxx
+++ b/Tests/Unit/WorkSessionTest.cxx
@@ -1,7 +1,7 @@
-// Golden sessions of work: Tests/Golden/Work*.session is played on the virtual
-// clock through the entries' own scheduler code, and its transcript compared
-// with Work*.golden beside it. UPDATE_GOLDEN=1 writes the transcripts anew.
-// Whatever the transcript says, no promise may be broken on the way.
+// Golden sessions of work: each Tests/Golden/Work*.session runs the entries'
+// scheduler code on a virtual clock, and its transcript is compared with the
+// Work*.golden file next to it. UPDATE_GOLDEN=1 rewrites the transcripts. A
+// broken promise fails the test even if the transcript matches.
 
 #include "../Golden/WorkWorld.h"
 
@@ -16,7 +16,7 @@
 
 namespace {
 
-/** Plays the lines of a session. */
+/** Executes the lines of a session. */
 class Player
 {
 public:
@@ -63,7 +63,7 @@
     } else if (key == "idempotent") {
       spec.idempotent_ = value == "yes";
     } else {
-      world_.Break("the session has an unknown word: " + word);
+      world_.Break("the session has an unknown word in a job line: " + word);
     }
   }
   world_.Ask(aEntry, request);
@@ -130,7 +130,7 @@
   } else if (verb == "quota") {
     world_.SetQuota("team", std::stoll(name) * 1000);
   } else {
-    // VERB ENTRY SELECTOR OPERATION
+    // An operator's verb: VERB ENTRY SELECTOR OPERATION.
     VerbRequest request;
     request.verb_ = verb;
     words >> request.selector_ >> request.operationId_;
@@ -143,7 +143,8 @@
   }
 }
 
-/** Tests run in a folder of the build; the sessions are in the sources. */
+/** Returns the folder of the sessions in the source tree. Tests run in a folder
+ * of the build tree below it. */
 std::filesystem::path
 GoldenFolder()
 {
@@ -164,7 +165,7 @@
   return text.str();
 }
 
-/** The first line where two texts differ. */
+/** Returns the first line in which two texts differ. */
 std::string
 FirstDifference(const std::string& aLeft, const std::string& aRight)
 {
