--- a/Source/Process/FleetLead.h
+++ b/Source/Process/FleetLead.h
@@ -469,7 +469,7 @@
                      OnJobsRemoved(ids, aCommit);
                    }));
     }
-    for (const std::string& node : scheduler_.Removable(aNow)) {
+    for (const std::string& node : scheduler_.RemovableSides(aNow)) {
       RemoveMember(node, aNow);
     }
     for (const auto& [node, worker] : scheduler_.Workers()) {
--- a/Source/Process/FleetScheduler.cxx
+++ b/Source/Process/FleetScheduler.cxx
@@ -336,7 +336,7 @@
 }
 
 std::vector<std::string>
-FleetScheduler::Removable(Instant aNow) const
+FleetScheduler::RemovableSides(Instant aNow) const
 {
   std::vector<std::string> nodes;
   for (const auto& [node, worker] : workers_) {
--- a/Source/Process/FleetScheduler.h
+++ b/Source/Process/FleetScheduler.h
@@ -146,7 +146,7 @@
    * Returns the sides that have been unreachable for so long that nothing can
    * run on their workers.
    */
-  std::vector<std::string> Removable(Instant aNow) const;
+  std::vector<std::string> RemovableSides(Instant aNow) const;
 
   /**
    * Learned cost of backfill beside serving tasks. The table keeps it across
@@ -165,7 +165,7 @@
   std::size_t JobCount() const { return jobs_.size(); }
   std::size_t ReadyCount() const;
   /** Number of scans of all workers for a step under this leader. */
-  std::uint64_t FleetLooks() const { return workerScans_; }
+  std::uint64_t WorkerScans() const { return workerScans_; }
   const std::map<std::string, FleetWorker>& Workers() const { return workers_; }
 
 private:
--- a/Source/Process/FleetSide.h
+++ b/Source/Process/FleetSide.h
@@ -355,8 +355,8 @@
       DropLink();
     }
     if (registeredAt_ != Instant() && link_.isNull() &&
-        now - lastReceivedAt_ > kOrphanedSide &&
-        now - registeredAt_ > kOrphanedSide) {
+        now - lastReceivedAt_ > kOrphanedSideTimeout &&
+        now - registeredAt_ > kOrphanedSideTimeout) {
       Register();
     }
     Pump();
--- a/Source/Process/FleetTimings.h
+++ b/Source/Process/FleetTimings.h
@@ -27,7 +27,7 @@
 constexpr Millis kLeaderRenewal{ 600 };
 
 /** Interval at which the other entries check the lease. */
-constexpr Millis kLeaderWatch{ 700 };
+constexpr Millis kLeaderCheckPeriod{ 700 };
 
 /**
  * Largest clock difference between two hosts over one lease. A follower waits
@@ -72,7 +72,7 @@
  * high-frequency reporting. Latencies of serving tasks beside backfill rise
  * from half of their objective to six times their objective within a second.
  */
-constexpr Millis kCloseWatch{ 250 };
+constexpr Millis kHighFrequencyReportPeriod{ 250 };
 
 /**
  * Validity of the leader's request for high-frequency reporting: until the
@@ -95,6 +95,6 @@
  * Time without contact to a leader after which a side writes its row again,
  * because a leader that abandoned the side has removed the row.
  */
-constexpr Millis kOrphanedSide{ 5000 };
+constexpr Millis kOrphanedSideTimeout{ 5000 };
 
 }
--- a/Source/Process/LeaderLease.cxx
+++ b/Source/Process/LeaderLease.cxx
@@ -164,10 +164,11 @@
     holds_ = false;
   }
   // Reads a lease that is not renewed again as soon as it expires instead of up
-  // to kLeaderWatch later, because the fleet starts nothing without a leader.
+  // to kLeaderCheckPeriod later, because the fleet starts nothing without a
+  // leader.
   nextAt_ = own || IsFree(aNow)
               ? aNow
-              : std::min(aNow + kLeaderWatch, ExpiresAt() + kPastExpiry);
+              : std::min(aNow + kLeaderCheckPeriod, ExpiresAt() + kPastExpiry);
   if (row_.record_.node_.empty()) {
     nextAt_ = std::max(aNow, unchangedSince_ + acquisitionDelay_);
   }
--- a/Source/Process/LeaderLease.h
+++ b/Source/Process/LeaderLease.h
@@ -73,8 +73,8 @@
    * Makes larger hosts win when all entries find a free lease at the same time,
    * for example when all of them start: hosts with half a processor or more do
    * not wait. After the loss of a leader the larger host may still lose,
-   * because the entries observe the last renewal up to kLeaderWatch apart; see
-   * ShouldYieldTo().
+   * because the entries observe the last renewal up to kLeaderCheckPeriod
+   * apart; see ShouldYieldTo().
    */
   static Millis AcquisitionDelay(double aProcessors);
 
--- a/Source/Process/WorkerKeeper.cxx
+++ b/Source/Process/WorkerKeeper.cxx
@@ -295,7 +295,7 @@
 WorkerKeeper::HoldWait(Instant aNow) const
 {
   if (aNow < highFrequencyUntil_) {
-    return kCloseWatch;
+    return kHighFrequencyReportPeriod;
   }
   return runs_.empty() ? kIdleHoldWait : kHoldWait;
 }
--- a/Tests/Fleet/CancelledJobTest.cxx
+++ b/Tests/Fleet/CancelledJobTest.cxx
@@ -141,6 +141,6 @@
     world.Run(Millis(12000));
     cr_assert_eq(
       world.StateOf("a"), JobState::Completed, "faults for %d ms", trouble);
-    cr_assert_eq(world.MostRunsAtOnce(), 1);
+    cr_assert_eq(world.MaxConcurrentRuns(), 1);
   }
 }
--- a/Tests/Fleet/FleetFailureTest.cxx
+++ b/Tests/Fleet/FleetFailureTest.cxx
@@ -26,7 +26,7 @@
   cr_assert_eq(world.StateOf("a"), JobState::Running);
   world.Run(Millis(2000));
   cr_assert_eq(world.StateOf("a"), JobState::Completed);
-  cr_assert_eq(world.MostRunsAtOnce(), 1);
+  cr_assert_eq(world.MaxConcurrentRuns(), 1);
 }
 
 Test(FleetFailure, StepsWaitForTheirDependencies)
@@ -66,8 +66,8 @@
                "the stopped run still holds its room");
   world.Run(Millis(1500));
   cr_assert_eq(world.Starts(FirstTask("urgent")), 1);
-  cr_assert_eq(world.MostRunsAtOnce(), 1);
-  cr_assert_not(world.EverOverRoom());
+  cr_assert_eq(world.MaxConcurrentRuns(), 1);
+  cr_assert_not(world.EverOverCapacity());
 }
 
 // Guards against an overloaded worker after a restart of its side. The side's
@@ -90,8 +90,8 @@
   world.RestartSide(0);
   world.RestartSide(1);
   world.Run(Millis(3000));
-  cr_assert_not(world.EverOverRoom());
-  cr_assert_eq(world.MostRunsAtOnce(), 1);
+  cr_assert_not(world.EverOverCapacity());
+  cr_assert_eq(world.MaxConcurrentRuns(), 1);
   cr_assert_eq(world.Starts(FirstTask("urgent")), 1);
 }
 
@@ -114,7 +114,7 @@
                "the task may still run on the unreachable host");
   world.Run(kAbandonTimeout);
   cr_assert_eq(world.Starts(FirstTask("payout")), 2);
-  cr_assert_eq(world.MostRunsAtOnce(), 1);
+  cr_assert_eq(world.MaxConcurrentRuns(), 1);
 }
 
 // A short cut must not end the run: the side keeps it during the cut.
@@ -170,7 +170,7 @@
   world.Run(Millis(500));
   cr_assert_eq(world.Starts(FirstTask("fresh")), 1);
   world.Run(kAbandonTimeout);
-  cr_assert_eq(world.MostRunsAtOnce(), 1);
+  cr_assert_eq(world.MaxConcurrentRuns(), 1);
 }
 
 // Old work waits for an unreachable host. The log must name the host while
@@ -182,10 +182,11 @@
   world.Cut(1, true);
   world.ChangeLeader();
   world.Run(Millis(2500));
-  cr_assert_eq(world.Said("old-work-waits"), "no report yet from: side1; ");
-  cr_assert_eq(world.Said("old-work-goes-on"), "");
+  cr_assert_eq(world.EventDetails("old-work-waits"),
+               "no report yet from: side1; ");
+  cr_assert_eq(world.EventDetails("old-work-goes-on"), "");
   world.Run(kAbandonTimeout);
-  cr_assert_neq(world.Said("old-work-goes-on"), "");
+  cr_assert_neq(world.EventDetails("old-work-goes-on"), "");
 }
 
 // Guards against a second run of a payout: the table is unavailable when the
@@ -326,7 +327,7 @@
   world.Run(Millis(6000));
   cr_assert_eq(world.StateOf("watch"), JobState::Running);
   cr_assert_geq(world.Starts(FirstTask("watch")), 4);
-  cr_assert_eq(world.MostRunsAtOnce(), 1);
+  cr_assert_eq(world.MaxConcurrentRuns(), 1);
 }
 
 // Guards against a downtime beside an empty worker: a worker failed all its
@@ -361,7 +362,7 @@
   world.Submit(MakeJob("a", 20, 1500));
   world.Run(Millis(14000));
   cr_assert_eq(world.StateOf("a"), JobState::Completed);
-  cr_assert_not(world.EverOverRoom());
+  cr_assert_not(world.EverOverCapacity());
 }
 
 Test(FleetFailure, GangStartsTogetherOrNotAtAll)
--- a/Tests/Fleet/FleetRandomTest.cxx
+++ b/Tests/Fleet/FleetRandomTest.cxx
@@ -75,9 +75,10 @@
       world.Host(host).worker_.taskTime_ = Millis(500);
     }
     world.Run(Millis(45000));
-    cr_assert_eq(world.MostRunsAtOnce(), 1, "seed %u ran a task twice", seed);
+    cr_assert_eq(
+      world.MaxConcurrentRuns(), 1, "seed %u ran a task twice", seed);
     cr_assert_not(
-      world.EverOverRoom(), "seed %u exceeded the room of a worker", seed);
+      world.EverOverCapacity(), "seed %u exceeded the room of a worker", seed);
     for (int round = 0; round < kRounds; ++round) {
       const auto state =
         world.Scheduler().StateOf("job" + std::to_string(round));
--- a/Tests/Fleet/FleetWorld.cxx
+++ b/Tests/Fleet/FleetWorld.cxx
@@ -400,7 +400,7 @@
 }
 
 std::string
-FleetWorld::Said(std::string_view aEvent) const
+FleetWorld::EventDetails(std::string_view aEvent) const
 {
   std::string said;
   for (const FleetEvent& event : events_) {
@@ -504,7 +504,7 @@
         ? host.decoder_.Take(*whole)
         : host.decoder_.Take(std::get<FleetReportChange>(sent.message_));
     if (!report.has_value()) {
-      ++reportsRefused_;
+      ++reportsOutOfSequence_;
       LoseLink(host);
       continue;
     }
--- a/Tests/Fleet/FleetWorld.h
+++ b/Tests/Fleet/FleetWorld.h
@@ -142,12 +142,12 @@
   std::int64_t WallMs() const;
   JobState StateOf(const std::string& aJob);
   /** Largest number of simultaneous runs of one task so far. */
-  std::size_t MostRunsAtOnce() const { return maxConcurrentRuns_; }
+  std::size_t MaxConcurrentRuns() const { return maxConcurrentRuns_; }
   /** Whether a worker ever exceeded its capacity. */
-  bool EverOverRoom() const { return capacityExceeded_; }
+  bool EverOverCapacity() const { return capacityExceeded_; }
   std::size_t Starts(const std::string& aTask) const;
   /** Details of all log events of that name, empty if there are none. */
-  std::string Said(std::string_view aEvent) const;
+  std::string EventDetails(std::string_view aEvent) const;
   /** Time of the last start of a task on any worker; none if there was none. */
   std::optional<Instant> LastStart(const std::string& aTask) const;
 
@@ -159,7 +159,7 @@
   /** Delivery time of reports to the leader. */
   Millis reportDelay_{ 0 };
   /** Number of reports that reached the leader out of sequence. */
-  std::size_t reportsRefused_ = 0;
+  std::size_t reportsOutOfSequence_ = 0;
 
 private:
   /** Orders in flight. */
--- a/Tests/Fleet/PlacementMissesTest.cxx
+++ b/Tests/Fleet/PlacementMissesTest.cxx
@@ -72,11 +72,11 @@
     world.Submit(MakeJob("job" + std::to_string(i), 8, 16000));
   }
   world.Run(Millis(100));
-  const std::uint64_t before = world.Scheduler().FleetLooks();
+  const std::uint64_t before = world.Scheduler().WorkerScans();
   world.Run(Millis(500));
   // A pass needs two scans where a step also preempts.
   constexpr std::uint64_t kPasses = 50;
-  cr_assert_leq(world.Scheduler().FleetLooks() - before, 3 * kPasses);
+  cr_assert_leq(world.Scheduler().WorkerScans() - before, 3 * kPasses);
 }
 
 // Guards against a step that is refused for the miss of another step although
--- a/Tests/Fleet/ReportChangeTest.cxx
+++ b/Tests/Fleet/ReportChangeTest.cxx
@@ -256,9 +256,9 @@
     world.Run(Millis(kStepMs));
   }
   world.Run(Millis(6000));
-  cr_assert_eq(world.MostRunsAtOnce(), 1, "after %d ms", aLossTimeMs);
-  cr_assert_not(world.EverOverRoom(), "after %d ms", aLossTimeMs);
-  cr_assert_eq(world.reportsRefused_, 0, "after %d ms", aLossTimeMs);
+  cr_assert_eq(world.MaxConcurrentRuns(), 1, "after %d ms", aLossTimeMs);
+  cr_assert_not(world.EverOverCapacity(), "after %d ms", aLossTimeMs);
+  cr_assert_eq(world.reportsOutOfSequence_, 0, "after %d ms", aLossTimeMs);
   for (int i = 0; i < kDurationMs / kSubmitIntervalMs; ++i) {
     const std::string job = "job" + std::to_string(i);
     cr_assert_eq(world.StateOf(job), JobState::Completed);
--- a/Tests/Fleet/StandingRoomTest.cxx
+++ b/Tests/Fleet/StandingRoomTest.cxx
@@ -99,7 +99,7 @@
     cr_assert_eq(fleet.world_.StateOf("quote" + std::to_string(i)),
                  JobState::Completed);
   }
-  cr_assert_not(fleet.world_.Said("standing-held-back").empty());
+  cr_assert_not(fleet.world_.EventDetails("standing-held-back").empty());
 }
 
 Test(StandingRoom, DeferredWatcherStartsWhenAnotherEnds)
--- a/Tests/Fleet/WorkerKeeperTest.cxx
+++ b/Tests/Fleet/WorkerKeeperTest.cxx
@@ -162,7 +162,7 @@
   for (std::int64_t now = 10800; now < 13800; now += 250) {
     for (const HoldCall& hold :
          CallsOf<HoldCall>(fixture.AnswerHold(now, runs))) {
-      cr_assert_eq(hold.wait_ <= kCloseWatch, now < 11800);
+      cr_assert_eq(hold.wait_ <= kHighFrequencyReportPeriod, now < 11800);
     }
     if (fixture.keeper_.TakeReport(At(now)).has_value()) {
       ++(now < 11800 ? close : regular);
