--- a/Source/Process/BackfillInterference.cxx
+++ b/Source/Process/BackfillInterference.cxx
@@ -141,7 +141,7 @@
 }
 
 BackfillFit
-BackfillInterference::FitOfOneMore(
+BackfillInterference::FitOfAdditionalTask(
   const std::map<ServingGroup, std::uint32_t>& aServing,
   const std::map<std::string, double>& aBackfill,
   const std::string& aImage,
--- a/Source/Process/BackfillInterference.h
+++ b/Source/Process/BackfillInterference.h
@@ -85,7 +85,7 @@
    * serving tasks and backfill (image and total size of its tasks), for the
    * interval aAhead.
    */
-  BackfillFit FitOfOneMore(
+  BackfillFit FitOfAdditionalTask(
     const std::map<ServingGroup, std::uint32_t>& aServing,
     const std::map<std::string, double>& aBackfill,
     const std::string& aImage,
--- a/Source/Process/EntryProcess.cxx
+++ b/Source/Process/EntryProcess.cxx
@@ -270,7 +270,7 @@
     unfinishedRequests_ = open;
     stopDeadline_ = now + kFinalAnswerTimeout;
     for (const std::unique_ptr<Lane>& lane : lanes_) {
-      lane->GiveUpAll();
+      lane->AnswerOpenRequests();
     }
     return;
   }
--- a/Source/Process/FleetEntry.h
+++ b/Source/Process/FleetEntry.h
@@ -606,7 +606,8 @@
                       "retry at another entry."));
       return;
     }
-    if (intake_.InTrouble() && leadership_ == nullptr && leaderLink_.Usable()) {
+    if (intake_.IsUnhealthy() && leadership_ == nullptr &&
+        leaderLink_.Usable()) {
       viaLeader();
       return;
     }
--- a/Source/Process/FleetJob.cxx
+++ b/Source/Process/FleetJob.cxx
@@ -165,7 +165,7 @@
 }
 
 void
-FleetJob::ForgetDone()
+FleetJob::RemoveDone()
 {
   while (!occurrences_.empty()) {
     const auto first = occurrences_.begin();
@@ -186,7 +186,7 @@
 }
 
 void
-FleetJob::Shrink()
+FleetJob::FreePayload()
 {
   spec_.payload_.clear();
   spec_.payload_.shrink_to_fit();
--- a/Source/Process/FleetJob.h
+++ b/Source/Process/FleetJob.h
@@ -44,7 +44,7 @@
   std::uint32_t pace_ = 100;
   /** The run was throttled at some time, so its duration is no measure of the
    * worker's speed. */
-  bool everPaced_ = false;
+  bool everThrottled_ = false;
   /** The job found no suitable worker for a long time; the run keeps at least a
    * low pace. */
   bool starving_ = false;
@@ -74,15 +74,15 @@
   std::uint32_t moves_ = 0;
   /** Number of failures of a long-running task, from which the restart backoff
    * follows. */
-  std::uint32_t quickFailures_ = 0;
+  std::uint32_t longRunningFailures_ = 0;
   Instant notBefore_;
   /** Time at which the last run ended or was abandoned; none if this leader has
    * seen no run of the task. */
   std::optional<Instant> endedAt_;
   /** Worker with a reservation for the next run; empty for none. */
-  std::string keptOn_;
+  std::string reservedOn_;
   /** Earliest time at which the log reports again why the task waits. */
-  Instant nextWaitNote_;
+  Instant nextWaitLogAt_;
 
   bool Waits() const { return !done_ && runs_.empty(); }
 };
@@ -162,7 +162,7 @@
   /** Whether all tasks of all occurrences succeeded. */
   bool AllDone() const;
   /** Removes completed occurrences, up to the first one that is not done. */
-  void ForgetDone();
+  void RemoveDone();
 
   void Finish(JobState aState, std::int64_t aWallMs);
   JobState State() const { return state_; }
@@ -182,7 +182,7 @@
   JobProgress Progress() const;
 
   /** Frees the payload, which a job in a final state no longer needs. */
-  void Shrink();
+  void FreePayload();
 
 private:
   void Begin(std::uint32_t aOccurrence, Instant aNow);
--- a/Source/Process/FleetScheduler.cxx
+++ b/Source/Process/FleetScheduler.cxx
@@ -219,7 +219,7 @@
     FinishJob(aEntry, JobState::Completed);
     return;
   }
-  job.ForgetDone();
+  job.RemoveDone();
   MarkAllReady(aEntry);
 }
 
@@ -255,7 +255,7 @@
     ResolveJob(entry);
   }
   for (auto& [node, worker] : workers_) {
-    worker.suspect_ = !worker.synced_;
+    worker.mayRunOldWork_ = !worker.synced_;
     worker.grantedAt_ = aNow;
     worker.lostAt_ = aNow;
   }
@@ -270,7 +270,7 @@
 FleetScheduler::AnySuspect() const
 {
   return std::any_of(workers_.begin(), workers_.end(), [](const auto& aEntry) {
-    return aEntry.second.suspect_;
+    return aEntry.second.mayRunOldWork_;
   });
 }
 
@@ -287,7 +287,7 @@
     std::string names;
     std::size_t count = 0;
     for (const auto& [node, worker] : workers_) {
-      if (worker.suspect_ && ++count <= kMaxLoggedSides) {
+      if (worker.mayRunOldWork_ && ++count <= kMaxLoggedSides) {
         names += (names.empty() ? "" : ", ") + node;
       }
     }
@@ -344,7 +344,7 @@
     // row.
     const Millis after =
       worker.left_ ? kDepartedSideRetention : kUnreachableSideRetention;
-    if (worker.registered_ && !worker.linked_ && !worker.suspect_ &&
+    if (worker.registered_ && !worker.linked_ && !worker.mayRunOldWork_ &&
         worker.held_.empty() && aNow - worker.lostAt_ > after) {
       nodes.push_back(node);
     }
@@ -360,11 +360,11 @@
       continue;
     }
     const bool over = aNow - worker.grantedAt_ > kAuthority + kAuthoritySlack;
-    if (!over || (!worker.suspect_ && worker.held_.empty())) {
+    if (!over || (!worker.mayRunOldWork_ && worker.held_.empty())) {
       continue;
     }
     LogEvent("worker-given-up", {}, node, "its side is unreachable");
-    worker.suspect_ = false;
+    worker.mayRunOldWork_ = false;
     DropAllRuns(worker, "its side is unreachable", aNow);
   }
 }
@@ -404,7 +404,7 @@
     }
     found->second.storedState_ = found->second.stateInBatch_;
     if (IsFinal(found->second.storedState_)) {
-      found->second.job_->Shrink();
+      found->second.job_->FreePayload();
     }
   }
   for (auto& [node, worker] : workers_) {
--- a/Source/Process/FleetScheduler.h
+++ b/Source/Process/FleetScheduler.h
@@ -495,8 +495,8 @@
   WorkerHealth health_;
   BackfillInterference interference_;
   DurationModel durations_;
-  RoomReservations reservations_;
-  StandingRoom longRunningAdmission_;
+  WorkerReservations reservations_;
+  LongRunningLimit longRunningAdmission_;
   PlacementMisses misses_;
   std::vector<FleetEvent> events_;
   /**
--- a/Source/Process/FleetSchedulerCare.cxx
+++ b/Source/Process/FleetSchedulerCare.cxx
@@ -85,7 +85,7 @@
                               Instant aNow)
 {
   const double part = 1 - static_cast<double>(aRun.firstPercent_) / 100;
-  if (part < 0.3 || aStep.spec_->estimateMs_ <= 0 || aRun.everPaced_) {
+  if (part < 0.3 || aStep.spec_->estimateMs_ <= 0 || aRun.everThrottled_) {
     return;
   }
   const double micros =
@@ -123,7 +123,7 @@
       }
       if (run.phase_ == RunPhase::Ordered &&
           aNow - run.startedAt_ > kStartTimeout) {
-        aWorker.avoidUntil_ = aNow + kStallPause;
+        aWorker.cordonedUntil_ = aNow + kStallPause;
         place->task_->avoid_.push_back(aWorker.node_);
         OrderStop(aWorker.node_, task, run, "its start got no answer");
       } else if (run.phase_ == RunPhase::Running) {
@@ -152,7 +152,7 @@
     return;
   }
   if (aNow - aRun.progressAt_ > kStallTimeout && task.moves_ < kMaxMoves) {
-    aWorker.avoidUntil_ = aNow + kStallPause;
+    aWorker.cordonedUntil_ = aNow + kStallPause;
     ++task.moves_;
     task.avoid_.push_back(aWorker.node_);
     OrderStop(aWorker.node_, aName.Text(), aRun, "it makes no progress");
--- a/Source/Process/FleetSchedulerLasting.cxx
+++ b/Source/Process/FleetSchedulerLasting.cxx
@@ -53,7 +53,7 @@
 LeavesCapacityFor(const FleetWorker& aWorker, const FleetRoom& aRoom)
 {
   const FleetRoom& all = aWorker.facts_.room_;
-  const FleetRoom& longRunning = aWorker.lasting_;
+  const FleetRoom& longRunning = aWorker.longRunningUsed_;
   const auto leavesEnough =
     [](std::int64_t aAll, std::int64_t aLongRunning, std::int64_t aWanted) {
       return aAll - aLongRunning >= kMinCapacityFactor * aWanted;
@@ -77,12 +77,12 @@
     const double millis =
       durations_.ExpectedMillis(spec.queue_, step.estimateMs_) +
       static_cast<double>(kRunOverhead.count());
-    longRunningAdmission_.OnAsked(spec.service_,
-                                  spec.priority_,
-                                  static_cast<double>(step.count_) *
-                                    static_cast<double>(step.cpuMilli_) *
-                                    millis,
-                                  aNow);
+    longRunningAdmission_.AddDemand(spec.service_,
+                                    spec.priority_,
+                                    static_cast<double>(step.count_) *
+                                      static_cast<double>(step.cpuMilli_) *
+                                      millis,
+                                    aNow);
   }
 }
 
@@ -106,7 +106,7 @@
   std::int64_t sum = 0;
   for (const auto& [node, worker] : workers_) {
     if (worker.facts_.service_ == aService) {
-      sum += worker.lasting_.cpuMilli_;
+      sum += worker.longRunningUsed_.cpuMilli_;
     }
   }
   for (const ReadyKey& key : ready_) {
@@ -143,7 +143,7 @@
     static_cast<std::int64_t>(aStep.tasks_.size()) * aStep.spec_->cpuMilli_;
   const std::int64_t held = LongRunningCpuMilli(spec.service_);
   const ServiceCapacity room = CapacityOfService(spec.service_);
-  const double limit = longRunningAdmission_.MostCpuMilli(
+  const double limit = longRunningAdmission_.MaxLongRunningCpuMilli(
     spec.service_, spec.priority_, room.cpuMilli_, aNow);
   // Users count a job as lost if it waits while half of the capacity is free.
   const bool idle = room.usedCpuMilli_ < room.cpuMilli_ / 2;
@@ -201,18 +201,19 @@
     return;
   }
   ReleaseReservation(aName, *aPlace.task_);
-  aPlace.task_->keptOn_ = aWorker.node_;
-  aWorker.Keep(aName.Text(),
-               { RoomOf(*aPlace.step_->spec_, aPlace.entry_->job_->Spec()),
-                 aNow + kRestartReservation });
+  aPlace.task_->reservedOn_ = aWorker.node_;
+  aWorker.Reserve(
+    aName.Text(),
+    { TaskResourcesOf(*aPlace.step_->spec_, aPlace.entry_->job_->Spec()),
+      aNow + kRestartReservation });
 }
 
 void
 FleetScheduler::ReleaseReservation(const TaskKey& aName, FleetTask& aTask)
 {
-  const auto keeper = workers_.find(std::exchange(aTask.keptOn_, {}));
+  const auto keeper = workers_.find(std::exchange(aTask.reservedOn_, {}));
   if (keeper != workers_.end()) {
-    keeper->second.TakeKept(aName.Text());
+    keeper->second.TakeReservation(aName.Text());
   }
 }
 
@@ -223,11 +224,11 @@
     waitLogPeriodEnd_ = aNow + kWaitLogPeriod;
     loggedWaits_ = 0;
   }
-  if (aNow < aTask.nextWaitNote_ || loggedWaits_ >= kMaxLoggedWaits) {
+  if (aNow < aTask.nextWaitLogAt_ || loggedWaits_ >= kMaxLoggedWaits) {
     return false;
   }
   ++loggedWaits_;
-  aTask.nextWaitNote_ = aNow + kWaitLogPeriod;
+  aTask.nextWaitLogAt_ = aNow + kWaitLogPeriod;
   return true;
 }
 
@@ -236,7 +237,7 @@
                              const FleetStep& aStep,
                              Instant aNow) const
 {
-  const FleetRoom wanted = FixedRoomOf(*aStep.spec_);
+  const FleetRoom wanted = FixedResourcesOf(*aStep.spec_);
   ChoiceFacts facts;
   facts.step_ = aStep.spec_;
   facts.service_ = aEntry.job_->Spec().service_;
@@ -250,7 +251,7 @@
       continue;
     }
     ++eligible;
-    cordoned += option.setAside_ ? 1 : 0;
+    cordoned += option.cordoned_ ? 1 : 0;
     reservable += LeavesCapacityFor(*option.worker_, wanted) ? 1 : 0;
     const FleetRoom free = option.worker_->Free();
     if (free.memoryMb_ >= wanted.memoryMb_) {
@@ -320,7 +321,7 @@
   if (kept.empty() && reservations_.Count(aNow) >= limit) {
     return;
   }
-  const FleetRoom wanted = FixedRoomOf(*aStep.spec_);
+  const FleetRoom wanted = FixedResourcesOf(*aStep.spec_);
   ChoiceFacts facts;
   facts.step_ = aStep.spec_;
   facts.service_ = aEntry.job_->Spec().service_;
@@ -328,7 +329,7 @@
   const FleetWorker* best = nullptr;
   for (const WorkerOption& option : options_) {
     const FleetWorker& worker = *option.worker_;
-    if (!MayRunOn(option, facts) || option.setAside_ ||
+    if (!MayRunOn(option, facts) || option.cordoned_ ||
         !LeavesCapacityFor(worker, wanted)) {
       continue;
     }
@@ -350,7 +351,7 @@
              std::to_string(best->Free().cpuMilli_) + " are free, " +
                std::to_string(wanted.cpuMilli_) + " are needed");
   }
-  reservations_.Keep(best->node_, job, aNow);
+  reservations_.Reserve(best->node_, job, aNow);
 }
 
 }
--- a/Source/Process/FleetSchedulerPlacement.cxx
+++ b/Source/Process/FleetSchedulerPlacement.cxx
@@ -98,7 +98,7 @@
     orders.orders_.holdMicros_ = static_cast<std::uint64_t>(
       std::chrono::duration_cast<Micros>(kAuthority).count());
     orders.orders_.watchMicros_ =
-      worker.watched_
+      worker.highFrequency_
         ? static_cast<std::uint64_t>(Micros(kWatchValidity).count())
         : 0;
     orders.orders_.workerId_ = worker.facts_.id_;
@@ -116,7 +116,7 @@
   const bool deferOldWork = DefersOldWork(aNow);
   misses_.Clear();
   for (auto& [node, worker] : workers_) {
-    worker.DropKeptUntil(aNow);
+    worker.DropExpiredReservations(aNow);
   }
   std::vector<ReadyKey> placed;
   // Work of a lower priority must not take capacity that preemption frees.
@@ -161,7 +161,7 @@
   const JobDescription& spec = aJob.Spec();
   if (aStep.spec_->longRunning_) {
     const bool restarting = HasRestarting(jobs_.at(spec.id_), aStep);
-    return { restarting ? JobOutlook::Returning : JobOutlook::Standing,
+    return { restarting ? JobOutlook::Restarting : JobOutlook::LongRunning,
              spec.acceptedAtMs_ };
   }
   std::vector<double> all;
@@ -279,7 +279,7 @@
   const JobDescription& spec = aJob.Spec();
   misses_.Add(spec, *aStep.spec_);
   if (!aStep.spec_->longRunning_ && !aStep.spec_->backfill_) {
-    longRunningAdmission_.OnMissed(spec.service_, spec.priority_, aNow);
+    longRunningAdmission_.AddMiss(spec.service_, spec.priority_, aNow);
   }
 }
 
@@ -321,9 +321,9 @@
     WorkerOption option;
     option.worker_ = &worker;
     option.sameStep_ = same == sameStep.end() ? 0 : same->second;
-    option.setAside_ = health_.IsSetAside(node, aNow);
-    option.kept_ =
-      reservations_.IsKeptFrom(aJob.Spec().id_, worker.node_, aNow);
+    option.cordoned_ = health_.IsSetAside(node, aNow);
+    option.reserved_ =
+      reservations_.IsReservedFrom(aJob.Spec().id_, worker.node_, aNow);
     option.fit_ = FitOn(worker, aJob, *aStep.spec_);
     options_.push_back(option);
   }
@@ -358,7 +358,7 @@
     const Millis ahead = std::min(kMaxPredictionAhead, expected);
     known = aWorker.fits_
               .emplace(aStep.image_,
-                       interference_.FitOfOneMore(
+                       interference_.FitOfAdditionalTask(
                          aWorker.servingGroups_, backfill, aStep.image_, ahead))
               .first;
   }
@@ -410,7 +410,7 @@
                           Instant aNow)
 {
   FleetTask& task = aStep.tasks_[aIndex];
-  if (!task.keptOn_.empty()) {
+  if (!task.reservedOn_.empty()) {
     return PlaceWithReservation(aEntry, aStep, aIndex, aNow);
   }
   const auto chosen = ChooseAmongOptions(*aEntry.job_, aStep, task, aNow);
@@ -431,18 +431,18 @@
                                      Instant aNow)
 {
   FleetTask& task = aStep.tasks_[aIndex];
-  const std::string node = std::exchange(task.keptOn_, {});
+  const std::string node = std::exchange(task.reservedOn_, {});
   const TaskKey name{
     aEntry.job_->Spec().id_, aStep.occurrence_, aStep.index_, aIndex
   };
   const auto keeper = workers_.find(node);
-  const std::optional<KeptRoom> kept = keeper == workers_.end()
-                                         ? std::nullopt
-                                         : keeper->second.TakeKept(name.Text());
+  const std::optional<TaskReservation> kept =
+    keeper == workers_.end() ? std::nullopt
+                             : keeper->second.TakeReservation(name.Text());
   const bool placed = PlaceTask(aEntry, aStep, aIndex, aNow);
   if (!placed && kept.has_value()) {
-    keeper->second.Keep(name.Text(), *kept);
-    task.keptOn_ = node;
+    keeper->second.Reserve(name.Text(), *kept);
+    task.reservedOn_ = node;
   }
   return placed;
 }
@@ -464,7 +464,7 @@
     StartAtPace(worker, aEntry, aStep, aIndex, fit.speed_);
   }
   if (!fit.known_) {
-    worker.triedAt_ = aNow;
+    worker.trialStartedAt_ = aNow;
   }
 }
 
@@ -543,7 +543,8 @@
     const TaskKey name{
       aEntry.job_->Spec().id_, aStep.occurrence_, aStep.index_, i
     };
-    worker->Hold(name.Text(), run, RoomOf(*aStep.spec_, aEntry.job_->Spec()));
+    worker->Hold(
+      name.Text(), run, TaskResourcesOf(*aStep.spec_, aEntry.job_->Spec()));
     UpdateOption(*option, *aEntry.job_, aStep);
     TaskRun placeholder;
     placeholder.node_ = worker->node_;
@@ -588,7 +589,7 @@
   run.progressAt_ = aNow;
   task.runs_.push_back(run);
   const std::string text = name.Text();
-  aWorker.Hold(text, aRun, RoomOf(*aStep.spec_, spec));
+  aWorker.Hold(text, aRun, TaskResourcesOf(*aStep.spec_, spec));
   health_.OnStart(aWorker.node_, aNow);
   if (aStep.spec_->longRunning_ && !aEntry.job_->EverStarted()) {
     // Stored so that the next leader does not defer the job.
--- a/Source/Process/FleetSchedulerPreemption.cxx
+++ b/Source/Process/FleetSchedulerPreemption.cxx
@@ -91,7 +91,7 @@
   if (aStep.spec_->backfill_) {
     return;
   }
-  const FleetRoom wanted = FixedRoomOf(*aStep.spec_);
+  const FleetRoom wanted = FixedResourcesOf(*aStep.spec_);
   ChoiceFacts facts;
   facts.step_ = aStep.spec_;
   facts.service_ = aJob.Spec().service_;
@@ -100,8 +100,9 @@
   const FleetWorker* best = nullptr;
   PreemptionPlan bestPreemption;
   for (const WorkerOption& option : options_) {
-    if (!MayRunOn(option, facts) || option.setAside_ ||
-        !Covers(option.worker_->FreeWithout(aJob.Spec().priority_), wanted)) {
+    if (!MayRunOn(option, facts) || option.cordoned_ ||
+        !Covers(option.worker_->FreeAfterPreemption(aJob.Spec().priority_),
+                wanted)) {
       continue;
     }
     FleetWorker& worker = workers_.at(option.worker_->node_);
--- a/Source/Process/FleetSchedulerReports.cxx
+++ b/Source/Process/FleetSchedulerReports.cxx
@@ -81,7 +81,7 @@
       run->orderSequence_ = 0;
     }
   }
-  worker.strangers_.clear();
+  worker.unknownRuns_.clear();
 }
 
 void
@@ -97,7 +97,7 @@
   }
   worker.linked_ = false;
   worker.synced_ = false;
-  worker.watched_ = false;
+  worker.highFrequency_ = false;
   orders_.erase(aNode);
   if (!worker.registered_ && worker.held_.empty()) {
     workers_.erase(found);
@@ -129,7 +129,7 @@
   worker.measuredAt_ =
     aNow - Micros(static_cast<std::int64_t>(aReport.measuredMicrosAgo_));
   worker.synced_ = true;
-  worker.suspect_ = false;
+  worker.mayRunOldWork_ = false;
   worker.left_ = aReport.worker_.id_.empty() && aReport.runs_.empty();
   for (const EndFact& end : aReport.ends_) {
     HandleEnd(worker, end, aNow);
@@ -183,17 +183,17 @@
              aWorker.facts_.id_ + " was replaced by " + aReport.worker_.id_);
     DropAllRuns(aWorker, "its worker crashed", aNow);
   }
-  aWorker.DropKept();
+  aWorker.DropReservations();
   aWorker.endsSeen_ = 0;
   aWorker.endsStored_ = 0;
   aWorker.acknowledgementDue_ = false;
   aWorker.unstored_.clear();
-  aWorker.avoidUntil_ = Instant();
-  aWorker.fullUntil_ = Instant();
+  aWorker.cordonedUntil_ = Instant();
+  aWorker.refusalBackoffUntil_ = Instant();
   aWorker.slowness_ = 1;
   aWorker.pressure_ = 0;
   aWorker.backfillShare_ = 1;
-  aWorker.overSince_.clear();
+  aWorker.overObjectiveSince_.clear();
   aWorker.backfillPaused_ = false;
 }
 
@@ -207,7 +207,7 @@
   }
   aWorker.endsSeen_ = aEnd.number_;
   aWorker.Release(aEnd.task_, aEnd.run_);
-  aWorker.strangers_.erase({ aEnd.task_, aEnd.run_ });
+  aWorker.unknownRuns_.erase({ aEnd.task_, aEnd.run_ });
   const auto name = TaskKey::Parse(aEnd.task_);
   std::optional<TaskLocation> place =
     name.has_value() ? Find(*name) : std::nullopt;
@@ -330,9 +330,10 @@
   if (spec.longRunning_) {
     // Failures of long-running tasks are not limited, so they do not count as
     // attempts. The backoff prevents a continuous loop of starts and failures.
-    ++task.quickFailures_;
-    task.notBefore_ = aNow + std::min(kMaxRestartBackoff,
-                                      kRestartBackoff * task.quickFailures_);
+    ++task.longRunningFailures_;
+    task.notBefore_ =
+      aNow +
+      std::min(kMaxRestartBackoff, kRestartBackoff * task.longRunningFailures_);
     if (task.avoid_.size() > kMaxAvoidedWorkers) {
       task.avoid_.erase(task.avoid_.begin());
     }
@@ -399,7 +400,7 @@
 {
   if (aRefused.why_ == StartRefusal::NoRoom ||
       aRefused.why_ == StartRefusal::Other) {
-    aWorker.fullUntil_ = aNow + kNoCapacityPause;
+    aWorker.refusalBackoffUntil_ = aNow + kNoCapacityPause;
   }
   DropRun(aWorker, aRefused.task_, aRefused.run_, TextOf(aRefused.why_), aNow);
 }
@@ -440,7 +441,7 @@
   for (const auto& [task, run] : keys) {
     DropRun(aWorker, task, run, aWhy, aNow);
   }
-  aWorker.strangers_.clear();
+  aWorker.unknownRuns_.clear();
 }
 
 void
@@ -453,7 +454,7 @@
     reported.emplace(fact.task_, fact.run_);
     HandleRun(aWorker, fact, aNow);
   }
-  std::erase_if(aWorker.strangers_, [&reported](const auto& aKey) {
+  std::erase_if(aWorker.unknownRuns_, [&reported](const auto& aKey) {
     return !reported.contains(aKey);
   });
   std::vector<std::pair<std::string, std::uint32_t>> gone;
@@ -486,7 +487,7 @@
   std::optional<TaskLocation> place =
     name.has_value() ? Find(*name) : std::nullopt;
   if (!place.has_value()) {
-    if (aWorker.strangers_.emplace(aFact.task_, aFact.run_).second) {
+    if (aWorker.unknownRuns_.emplace(aFact.task_, aFact.run_).second) {
       LogEvent("stranger-stopped", aFact.task_, aWorker.node_);
       OrdersFor(aWorker).stops_.push_back({ aFact.task_, aFact.run_ });
     }
@@ -503,9 +504,10 @@
     run->startedAt_ = aNow;
     run->progressAt_ = aNow;
     task.lastRun_ = std::max(task.lastRun_, aFact.run_);
-    aWorker.Hold(aFact.task_,
-                 aFact.run_,
-                 RoomOf(*place->step_->spec_, place->entry_->job_->Spec()));
+    aWorker.Hold(
+      aFact.task_,
+      aFact.run_,
+      TaskResourcesOf(*place->step_->spec_, place->entry_->job_->Spec()));
     place->entry_->job_->SetStarted();
     LogEvent("run-adopted",
              aFact.task_,
--- a/Source/Process/FleetSchedulerSharing.cxx
+++ b/Source/Process/FleetSchedulerSharing.cxx
@@ -68,7 +68,7 @@
 struct FleetScheduler::SharingRun
 {
   std::string name_;
-  const TaskRoom* room_ = nullptr;
+  const TaskResources* room_ = nullptr;
   TaskLocation place_;
   TaskRun* run_ = nullptr;
 };
@@ -144,15 +144,15 @@
 void
 FleetScheduler::UpdateReportRate(FleetWorker& aWorker, bool aHasServing)
 {
-  aWorker.watched_ = false;
+  aWorker.highFrequency_ = false;
   if (!aHasServing) {
     return;
   }
   const auto watched =
     std::count_if(workers_.begin(), workers_.end(), [](const auto& aEntry) {
-      return aEntry.second.watched_;
+      return aEntry.second.highFrequency_;
     });
-  aWorker.watched_ =
+  aWorker.highFrequency_ =
     watched < kMaxWatchedWorkers || aWorker.pressure_ > kHighPressure;
 }
 
@@ -167,13 +167,13 @@
     if (sample.pressure_ <= 1) {
       continue;
     }
-    const auto known = aWorker.overSince_.find(sample.run_);
+    const auto known = aWorker.overObjectiveSince_.find(sample.run_);
     const Instant since =
-      known == aWorker.overSince_.end() ? aNow : known->second;
+      known == aWorker.overObjectiveSince_.end() ? aNow : known->second;
     over.emplace(sample.run_, since);
     pause = pause || aNow - since > kOverloadTimeout;
   }
-  aWorker.overSince_ = std::move(over);
+  aWorker.overObjectiveSince_ = std::move(over);
   if (!aWorker.backfillPaused_ && pause && aWorker.backfillCpuMilli_ > 0) {
     aWorker.backfillPaused_ = true;
     LogEvent("backfill-paused",
@@ -234,7 +234,7 @@
 {
   TaskRun& run = *aRun.run_;
   run.pace_ = aPace;
-  run.everPaced_ = true;
+  run.everThrottled_ = true;
   // Progress is evaluated from here on.
   run.progressAt_ = aNow;
   run.firstReportAt_ = aNow;
@@ -261,7 +261,7 @@
   // once.
   TaskRun& run = aStep.tasks_[aIndex].runs_.back();
   run.pace_ = pace;
-  run.everPaced_ = true;
+  run.everThrottled_ = true;
   const TaskKey name{
     aEntry.job_->Spec().id_, aStep.occurrence_, aStep.index_, aIndex
   };
--- a/Source/Process/FleetWorker.h
+++ b/Source/Process/FleetWorker.h
@@ -17,7 +17,7 @@
 namespace cactusrail {
 
 /** Resources that a task uses on its worker. */
-struct TaskRoom
+struct TaskResources
 {
   FleetRoom room_;
   /** CPU request of a backfill task, in thousandths of a processor. Backfill
@@ -26,7 +26,7 @@
   /** The task serves users of its own and has a latency objective. */
   bool serves_ = false;
   /** The task is long-running: it runs until it is cancelled. */
-  bool lasts_ = false;
+  bool longRunning_ = false;
   /** Work of a more urgent priority may preempt the task. */
   bool preemptible_ = false;
   std::int64_t priority_ = 0;
@@ -35,9 +35,9 @@
 };
 
 /** Reservation of a failed run's resources for the next run of its task. */
-struct KeptRoom
+struct TaskReservation
 {
-  TaskRoom room_;
+  TaskResources room_;
   Instant until_;
 };
 
@@ -64,7 +64,7 @@
   bool registered_ = false;
   /** Work of a previous leader may still run there, as the worker has not
    * reported to this leader yet. */
-  bool suspect_ = false;
+  bool mayRunOldWork_ = false;
   /** The last report showed neither a worker nor runs. */
   bool left_ = false;
   /** Side's clock in its last report; echoed with the orders. */
@@ -86,35 +86,35 @@
   bool acknowledgementDue_ = false;
   std::deque<UnstoredEnd> unstored_;
   /** Resources in use, by task name and run. */
-  std::map<std::pair<std::string, std::uint32_t>, TaskRoom> held_;
+  std::map<std::pair<std::string, std::uint32_t>, TaskResources> held_;
   /** Reservations by task name; counted as in use, so that no other task gets
    * the capacity. */
-  std::map<std::string, KeptRoom> kept_;
+  std::map<std::string, TaskReservation> reserved_;
   /** Unknown runs, which have been ordered to stop. Their resources are
    * unknown, so nothing starts on the worker until they have ended. */
-  std::set<std::pair<std::string, std::uint32_t>> strangers_;
+  std::set<std::pair<std::string, std::uint32_t>> unknownRuns_;
   FleetRoom used_;
   /** Part of used_ that belongs to long-running tasks. */
-  FleetRoom lasting_;
+  FleetRoom longRunningUsed_;
   /** Part of used_ that can be preempted, by priority. */
   std::map<std::int64_t, FleetRoom> preemptible_;
   std::int64_t backfillCpuMilli_ = 0;
   std::uint32_t serving_ = 0;
   /** End of the backoff after the worker refused a task for lack of
    * resources. */
-  Instant fullUntil_;
+  Instant refusalBackoffUntil_;
   /** End of the period without new tasks after the worker stalled or was far
    * too slow. */
-  Instant avoidUntil_;
+  Instant cordonedUntil_;
   /** Smoothed ratio of task durations here to those on other workers. */
   double slowness_ = 1;
   /** Time at which the last reported figures of the runs were measured. */
   Instant measuredAt_;
   /** Start of the current period above its objective, for each serving task
    * that exceeds it. */
-  std::map<std::string, Instant> overSince_;
+  std::map<std::string, Instant> overObjectiveSince_;
   /** High-frequency reporting is on; see FleetScheduler::WatchClosely(). */
-  bool watched_ = false;
+  bool highFrequency_ = false;
   /** Backfill is paused until the serving tasks have recovered. */
   bool backfillPaused_ = false;
   /** Serving tasks on the worker, as last reported. */
@@ -135,7 +135,7 @@
   std::map<std::string, BackfillFit, std::less<>> fits_;
   /** Time at which the last backfill task of unknown effect on the serving
    * tasks started. */
-  Instant triedAt_;
+  Instant trialStartedAt_;
 
   FleetRoom Free() const
   {
@@ -145,7 +145,7 @@
   }
 
   /** Free resources if all work that this priority may preempt had ended. */
-  FleetRoom FreeWithout(std::int64_t aPriority) const
+  FleetRoom FreeAfterPreemption(std::int64_t aPriority) const
   {
     FleetRoom room = Free();
     for (auto lower = preemptible_.upper_bound(aPriority);
@@ -165,7 +165,9 @@
                  static_cast<double>(facts_.room_.cpuMilli_);
   }
 
-  void Hold(const std::string& aTask, std::uint32_t aRun, const TaskRoom& aRoom)
+  void Hold(const std::string& aTask,
+            std::uint32_t aRun,
+            const TaskResources& aRoom)
   {
     if (!held_.emplace(std::pair(aTask, aRun), aRoom).second) {
       return;
@@ -183,37 +185,37 @@
     held_.erase(found);
   }
 
-  void Keep(const std::string& aTask, const KeptRoom& aReservation)
+  void Reserve(const std::string& aTask, const TaskReservation& aReservation)
   {
-    if (kept_.emplace(aTask, aReservation).second) {
+    if (reserved_.emplace(aTask, aReservation).second) {
       Add(aReservation.room_, 1);
     }
   }
 
   /** Removes the reservation of a task and returns it; none if there was
    * none. */
-  std::optional<KeptRoom> TakeKept(const std::string& aTask)
+  std::optional<TaskReservation> TakeReservation(const std::string& aTask)
   {
-    const auto found = kept_.find(aTask);
-    if (found == kept_.end()) {
+    const auto found = reserved_.find(aTask);
+    if (found == reserved_.end()) {
       return std::nullopt;
     }
-    KeptRoom reservation = std::move(found->second);
-    kept_.erase(found);
+    TaskReservation reservation = std::move(found->second);
+    reserved_.erase(found);
     Add(reservation.room_, -1);
     return reservation;
   }
 
-  void DropKept()
+  void DropReservations()
   {
-    for (const auto& [task, reservation] : std::exchange(kept_, {})) {
+    for (const auto& [task, reservation] : std::exchange(reserved_, {})) {
       Add(reservation.room_, -1);
     }
   }
 
-  void DropKeptUntil(Instant aNow)
+  void DropExpiredReservations(Instant aNow)
   {
-    std::erase_if(kept_, [this, aNow](const auto& aEntry) {
+    std::erase_if(reserved_, [this, aNow](const auto& aEntry) {
       const bool over = aNow >= aEntry.second.until_;
       if (over) {
         Add(aEntry.second.room_, -1);
@@ -242,12 +244,12 @@
     aSum.accelerators_ += aSign * aRoom.accelerators_;
   }
 
-  void Add(const TaskRoom& aRoom, int aSign)
+  void Add(const TaskResources& aRoom, int aSign)
   {
     fits_.clear();
     AddTo(used_, aRoom.room_, aSign);
-    if (aRoom.lasts_) {
-      AddTo(lasting_, aRoom.room_, aSign);
+    if (aRoom.longRunning_) {
+      AddTo(longRunningUsed_, aRoom.room_, aSign);
     }
     if (aRoom.preemptible_) {
       AddTo(preemptible_[aRoom.priority_], aRoom.room_, aSign);
--- a/Source/Process/JobIntake.h
+++ b/Source/Process/JobIntake.h
@@ -70,7 +70,7 @@
 
   /** Whether the last call to the table failed less than kUnhealthyInterval
    * ago. */
-  bool InTrouble() const { return ReadMonotonicClock() < unhealthyUntil_; }
+  bool IsUnhealthy() const { return ReadMonotonicClock() < unhealthyUntil_; }
 
   /** Time of the last successful write to the table. */
   Instant AnsweredAt() const { return answeredAt_; }
--- a/Source/Process/JobOrder.h
+++ b/Source/Process/JobOrder.h
@@ -15,10 +15,10 @@
   /** The result can still be useful, in time or late. */
   Useful,
   /** Long-running job with a waiting task that ran before. */
-  Returning,
+  Restarting,
   /** Long-running job, which runs until it is cancelled. Placed before urgent
    * work, long-running tasks would fill and keep each gap of a full fleet. */
-  Standing,
+  LongRunning,
   /** The time in which a late result is useful has passed. */
   Overdue,
 };
--- a/Source/Process/Lane.cxx
+++ b/Source/Process/Lane.cxx
@@ -495,7 +495,7 @@
 }
 
 void
-Lane::GiveUpAll()
+Lane::AnswerOpenRequests()
 {
   Private* raw = private_.get();
   QMetaObject::invokeMethod(
--- a/Source/Process/Lane.h
+++ b/Source/Process/Lane.h
@@ -50,7 +50,7 @@
 
   /** Answers all open requests with their verdicts, at the time limit of a
    * stop. */
-  void GiveUpAll();
+  void AnswerOpenRequests();
 
   /**
    * Whether the lane has stopped listening, all connections are closed with
--- a/Source/Process/RoomReservations.cxx
+++ b/Source/Process/RoomReservations.cxx
@@ -13,9 +13,9 @@
 }
 
 void
-RoomReservations::Keep(const std::string& aNode,
-                       std::string_view aJob,
-                       Instant aNow)
+WorkerReservations::Reserve(const std::string& aNode,
+                            std::string_view aJob,
+                            Instant aNow)
 {
   std::erase_if(reservations_, [aNow](const auto& aEntry) {
     return aNow >= aEntry.second.until_;
@@ -24,9 +24,9 @@
 }
 
 bool
-RoomReservations::IsKeptFrom(std::string_view aJob,
-                             std::string_view aNode,
-                             Instant aNow) const
+WorkerReservations::IsReservedFrom(std::string_view aJob,
+                                   std::string_view aNode,
+                                   Instant aNow) const
 {
   const auto found = reservations_.find(aNode);
   return found != reservations_.end() && aNow < found->second.until_ &&
@@ -34,7 +34,7 @@
 }
 
 std::string_view
-RoomReservations::NodeOf(std::string_view aJob, Instant aNow) const
+WorkerReservations::NodeOf(std::string_view aJob, Instant aNow) const
 {
   for (const auto& [node, reservation] : reservations_) {
     if (reservation.job_ == aJob && aNow < reservation.until_) {
@@ -45,7 +45,7 @@
 }
 
 std::size_t
-RoomReservations::Count(Instant aNow) const
+WorkerReservations::Count(Instant aNow) const
 {
   return static_cast<std::size_t>(std::count_if(
     reservations_.begin(), reservations_.end(), [aNow](const auto& aEntry) {
--- a/Source/Process/RoomReservations.h
+++ b/Source/Process/RoomReservations.h
@@ -16,16 +16,16 @@
  * A reservation expires after a short time and is renewed in each placement
  * pass, so that none outlives the need of its job.
  */
-class RoomReservations
+class WorkerReservations
 {
 public:
   /** Reserves a worker for a job until shortly after aNow. */
-  void Keep(const std::string& aNode, std::string_view aJob, Instant aNow);
+  void Reserve(const std::string& aNode, std::string_view aJob, Instant aNow);
 
   /** Whether the worker is reserved for a job other than this one. */
-  bool IsKeptFrom(std::string_view aJob,
-                  std::string_view aNode,
-                  Instant aNow) const;
+  bool IsReservedFrom(std::string_view aJob,
+                      std::string_view aNode,
+                      Instant aNow) const;
 
   /** Returns the worker that is reserved for the job; empty for none. */
   std::string_view NodeOf(std::string_view aJob, Instant aNow) const;
--- a/Source/Process/SchedulerCore.cxx
+++ b/Source/Process/SchedulerCore.cxx
@@ -742,7 +742,7 @@
     fact.rack_ = worker.row_.rack_;
     fact.capacity_ = worker.Capacity();
     fact.reportedAt_ = worker.reportArrivedAt_;
-    fact.setAside_ = !worker.IsUsable(timings_, aNow) ||
+    fact.cordoned_ = !worker.IsUsable(timings_, aNow) ||
                      worker.fencedEpoch_ != aView.lease_.Row().epoch_;
     Resources unreported;
     for (const Reservation& reservation : aLedger.Row().reservations_) {
--- a/Source/Process/StandingRoom.cxx
+++ b/Source/Process/StandingRoom.cxx
@@ -33,23 +33,23 @@
 }
 
 double
-StandingRoom::Demand::DecayedAt(Instant aNow) const
+LongRunningLimit::Demand::DecayedAt(Instant aNow) const
 {
   return cpuMilliMs_ * std::exp(-MillisBetween(addedAt_, aNow) / kDecayMs);
 }
 
 double
-StandingRoom::Demand::RateAt(Instant aNow) const
+LongRunningLimit::Demand::RateAt(Instant aNow) const
 {
   const double span = std::max(kMinSpanMs, MillisBetween(since_, aNow));
   return DecayedAt(aNow) / (kDecayMs * (1 - std::exp(-span / kDecayMs)));
 }
 
 void
-StandingRoom::OnAsked(std::string_view aService,
-                      std::int64_t aPriority,
-                      double aCpuMilliMs,
-                      Instant aNow)
+LongRunningLimit::AddDemand(std::string_view aService,
+                            std::int64_t aPriority,
+                            double aCpuMilliMs,
+                            Instant aNow)
 {
   const auto [entry, isNew] =
     demands_.try_emplace({ std::string(aService), aPriority });
@@ -63,9 +63,9 @@
 }
 
 void
-StandingRoom::OnMissed(std::string_view aService,
-                       std::int64_t aPriority,
-                       Instant aNow)
+LongRunningLimit::AddMiss(std::string_view aService,
+                          std::int64_t aPriority,
+                          Instant aNow)
 {
   const auto found = demands_.find({ std::string(aService), aPriority });
   if (found != demands_.end()) {
@@ -74,9 +74,9 @@
 }
 
 bool
-StandingRoom::MissedRecently(std::string_view aService,
-                             std::int64_t aPriority,
-                             Instant aNow) const
+LongRunningLimit::MissedRecently(std::string_view aService,
+                                 std::int64_t aPriority,
+                                 Instant aNow) const
 {
   return std::any_of(demands_.begin(), demands_.end(), [&](const auto& aEntry) {
     const std::optional<Instant>& missedAt = aEntry.second.missedAt_;
@@ -86,9 +86,9 @@
 }
 
 double
-StandingRoom::DemandCpuMilli(std::string_view aService,
-                             std::int64_t aPriority,
-                             Instant aNow) const
+LongRunningLimit::DemandCpuMilli(std::string_view aService,
+                                 std::int64_t aPriority,
+                                 Instant aNow) const
 {
   double sum = 0;
   for (const auto& [key, asked] : demands_) {
@@ -100,10 +100,10 @@
 }
 
 double
-StandingRoom::MostCpuMilli(std::string_view aService,
-                           std::int64_t aPriority,
-                           std::int64_t aCapacityMilli,
-                           Instant aNow) const
+LongRunningLimit::MaxLongRunningCpuMilli(std::string_view aService,
+                                         std::int64_t aPriority,
+                                         std::int64_t aCapacityMilli,
+                                         Instant aNow) const
 {
   const auto capacity = static_cast<double>(aCapacityMilli);
   const double factor = MissedRecently(aService, aPriority, aNow)
--- a/Source/Process/StandingRoom.h
+++ b/Source/Process/StandingRoom.h
@@ -21,20 +21,18 @@
  * demand of short work, and rises after short work found no capacity. Jobs that
  * have started are never deferred again.
  */
-class StandingRoom
+class LongRunningLimit
 {
 public:
   /** Adds demand of short work of this priority, in thousandths of a processor
    * times milliseconds. */
-  void OnAsked(std::string_view aService,
-               std::int64_t aPriority,
-               double aCpuMilliMs,
-               Instant aNow);
+  void AddDemand(std::string_view aService,
+                 std::int64_t aPriority,
+                 double aCpuMilliMs,
+                 Instant aNow);
 
   /** Records that a task of short work of this priority found no capacity. */
-  void OnMissed(std::string_view aService,
-                std::int64_t aPriority,
-                Instant aNow);
+  void AddMiss(std::string_view aService, std::int64_t aPriority, Instant aNow);
 
   /** Returns the recent demand of short work of this and more urgent
    * priorities: the thousandths of processors that it would have kept busy if
@@ -45,10 +43,10 @@
 
   /** Returns the limit of the processors that long-running jobs may use of a
    * service's capacity, both in thousandths. */
-  double MostCpuMilli(std::string_view aService,
-                      std::int64_t aPriority,
-                      std::int64_t aCapacityMilli,
-                      Instant aNow) const;
+  double MaxLongRunningCpuMilli(std::string_view aService,
+                                std::int64_t aPriority,
+                                std::int64_t aCapacityMilli,
+                                Instant aNow) const;
 
 private:
   /** Sum of demand that decays exponentially with time. */
--- a/Source/Process/WorkerChoice.cxx
+++ b/Source/Process/WorkerChoice.cxx
@@ -127,7 +127,8 @@
     return cost;
   }
   if (!fit.known_) {
-    const bool mayStartTrial = aFacts.now_ - worker.triedAt_ > kTrialInterval;
+    const bool mayStartTrial =
+      aFacts.now_ - worker.trialStartedAt_ > kTrialInterval;
     return mayStartTrial
              ? cost + kUnknownFitCost + kTrialCostPerServing * worker.serving_
              : kIneligibleCost;
@@ -179,7 +180,7 @@
 bool
 IsCordoned(const WorkerOption& aOption, Instant aNow)
 {
-  return aOption.setAside_ || aNow < aOption.worker_->avoidUntil_;
+  return aOption.cordoned_ || aNow < aOption.worker_->cordonedUntil_;
 }
 
 /**
@@ -199,23 +200,23 @@
 }
 
 FleetRoom
-FixedRoomOf(const StepSpec& aStep)
+FixedResourcesOf(const StepSpec& aStep)
 {
   return { aStep.backfill_ ? 0 : aStep.cpuMilli_,
            aStep.memoryMb_,
            aStep.accelerators_ };
 }
 
-TaskRoom
-RoomOf(const StepSpec& aStep, const JobDescription& aJob)
+TaskResources
+TaskResourcesOf(const StepSpec& aStep, const JobDescription& aJob)
 {
-  TaskRoom room;
-  room.room_ = FixedRoomOf(aStep);
+  TaskResources room;
+  room.room_ = FixedResourcesOf(aStep);
   room.preemptible_ = !aStep.longRunning_ && !aStep.gang_;
   room.priority_ = aJob.priority_;
   room.backfillCpuMilli_ = aStep.backfill_ ? aStep.cpuMilli_ : 0;
   room.serves_ = aStep.latencyObjectiveMs_ > 0;
-  room.lasts_ = aStep.longRunning_;
+  room.longRunning_ = aStep.longRunning_;
   room.image_ = aStep.image_;
   room.job_ = aJob.id_;
   return room;
@@ -228,12 +229,12 @@
   const StepSpec& step = *aFacts.step_;
   if (!worker.synced_ || !worker.registered_ || !worker.facts_.answers_ ||
       worker.facts_.id_.empty() || worker.facts_.service_ != aFacts.service_ ||
-      worker.facts_.draining_ || !worker.strangers_.empty()) {
+      worker.facts_.draining_ || !worker.unknownRuns_.empty()) {
     return false;
   }
   // Backfill uses only processors that others leave, so a reservation of the
   // worker does not exclude backfill.
-  if (aOption.kept_ && !step.backfill_) {
+  if (aOption.reserved_ && !step.backfill_) {
     return false;
   }
   if (!step.requiredLabel_.empty() &&
@@ -259,13 +260,13 @@
        const ChoiceFacts& aFacts,
        bool aUncordonedOnly)
 {
-  const FleetRoom room = FixedRoomOf(*aFacts.step_);
+  const FleetRoom room = FixedResourcesOf(*aFacts.step_);
   std::optional<std::size_t> best;
   double bestCost = kIneligibleCost;
   for (std::size_t i = 0; i < aOptions.size(); ++i) {
     const FleetWorker& worker = *aOptions[i].worker_;
     if (!MayRunOn(aOptions[i], aFacts) || !HasCapacityFor(worker, room) ||
-        aFacts.now_ < worker.fullUntil_ ||
+        aFacts.now_ < worker.refusalBackoffUntil_ ||
         (aUncordonedOnly && IsCordoned(aOptions[i], aFacts.now_))) {
       continue;
     }
--- a/Source/Process/WorkerChoice.h
+++ b/Source/Process/WorkerChoice.h
@@ -35,9 +35,9 @@
   const FleetWorker* worker_ = nullptr;
   std::uint32_t sameStep_ = 0;
   /** The worker is cordoned because the tasks that it starts fail. */
-  bool setAside_ = false;
-  /** The worker is reserved for another job; see RoomReservations. */
-  bool kept_ = false;
+  bool cordoned_ = false;
+  /** The worker is reserved for another job; see WorkerReservations. */
+  bool reserved_ = false;
   /** For a backfill task: its fit beside the serving tasks on the worker. */
   BackfillFit fit_;
 };
@@ -45,12 +45,12 @@
 /** Returns the resources that a task of the step reserves on its worker;
  * backfill reserves no processors. */
 FleetRoom
-FixedRoomOf(const StepSpec& aStep);
+FixedResourcesOf(const StepSpec& aStep);
 
 /** Returns the same resources, with the properties of the task that matter to
  * other tasks on the worker. */
-TaskRoom
-RoomOf(const StepSpec& aStep, const JobDescription& aJob);
+TaskResources
+TaskResourcesOf(const StepSpec& aStep, const JobDescription& aJob);
 
 /** Whether the worker is eligible to run the task, regardless of free
  * capacity. */
--- a/Source/Version/PlacementEngine.cxx
+++ b/Source/Version/PlacementEngine.cxx
@@ -138,7 +138,7 @@
       std::max(urgentSize_.memoryMb_, aTask.declared_.memoryMb_);
   }
   const auto isOpen = [this](const WorkerFacts& aWorker) {
-    return !aWorker.setAside_ &&
+    return !aWorker.cordoned_ &&
            urgentSize_.FitsIn(aWorker.capacity_, aWorker.reserved_);
   };
   const auto open = static_cast<std::size_t>(
@@ -158,7 +158,7 @@
        ++step) {
     const std::size_t index = (start + step) % count;
     const WorkerFacts& worker = aWorkers[index];
-    if (worker.setAside_ ||
+    if (worker.cordoned_ ||
         !aTask.declared_.FitsIn(worker.capacity_, worker.reserved_)) {
       continue;
     }
--- a/Source/Version/PlacementFacts.cxx
+++ b/Source/Version/PlacementFacts.cxx
@@ -9,7 +9,7 @@
 {
   for (std::size_t index = 0; index < aWorkers.size(); ++index) {
     const WorkerFacts& worker = aWorkers[index];
-    if (!worker.setAside_ &&
+    if (!worker.cordoned_ &&
         aTask.declared_.FitsIn(worker.capacity_, worker.reserved_)) {
       return index;
     }
--- a/Source/Version/PlacementFacts.h
+++ b/Source/Version/PlacementFacts.h
@@ -42,7 +42,7 @@
   Instant reportedAt_;
   /** Cordoned, receives no new tasks: drained, suspected of failing all tasks,
    * or unresponsive. */
-  bool setAside_ = false;
+  bool cordoned_ = false;
 };
 
 /** A task that a worker reports as running. */
--- a/Source/Version/Reaction.cxx
+++ b/Source/Version/Reaction.cxx
@@ -129,7 +129,7 @@
     if (excess <= allowed) {
       memory.excessSince_.reset();
     }
-    if (aNow < memory.nextStepAt_ || worker.setAside_) {
+    if (aNow < memory.nextStepAt_ || worker.cordoned_) {
       continue;
     }
     if (excess > allowed) {
@@ -254,7 +254,7 @@
   std::size_t bestEvictions = 0;
   for (std::size_t index = 0; index < aWorkers.size(); ++index) {
     const PressedWorker& worker = aWorkers[index];
-    if (worker.setAside_) {
+    if (worker.cordoned_) {
       continue;
     }
     Resources reserved = worker.reserved_;
--- a/Source/Version/Reaction.h
+++ b/Source/Version/Reaction.h
@@ -46,7 +46,7 @@
   double latencyMicros_ = 0;
   double samples_ = 0;
   Instant measuredAt_;
-  bool setAside_ = false;
+  bool cordoned_ = false;
   std::span<const RunningTask> tasks_;
 };
 
--- a/Tests/Fleet/FleetHarmTest.cxx
+++ b/Tests/Fleet/FleetHarmTest.cxx
@@ -91,7 +91,7 @@
   HarmBench second;
   ContentionModel& model = second.scheduler_.Interference().Model();
   model.Import(known.Export(), second.now_);
-  const BackfillFit fit = second.scheduler_.Interference().FitOfOneMore(
+  const BackfillFit fit = second.scheduler_.Interference().FitOfAdditionalTask(
     { { ServingGroup{ "serving", "victim" }, 1 } }, {}, "aggressor", Millis(0));
   cr_assert(fit.known_);
   cr_assert_not(fit.harmless_);
--- a/Tests/Fleet/StandingRoomTest.cxx
+++ b/Tests/Fleet/StandingRoomTest.cxx
@@ -83,7 +83,7 @@
 // Guards against long-running watchers that take all capacity which is free for
 // a moment. When they arrived in a fleet that they nearly filled, quotes waited
 // for 20 s.
-Test(StandingRoom, QuotesStartWhenNewWatchersArrive)
+Test(LongRunningLimit, QuotesStartWhenNewWatchersArrive)
 {
   SharedFleet fleet;
   fleet.RunWithQuotes(Millis(5000));
@@ -102,7 +102,7 @@
   cr_assert_not(fleet.world_.EventDetails("standing-held-back").empty());
 }
 
-Test(StandingRoom, DeferredWatcherStartsWhenAnotherEnds)
+Test(LongRunningLimit, DeferredWatcherStartsWhenAnotherEnds)
 {
   SharedFleet fleet;
   fleet.RunWithQuotes(Millis(5000));
@@ -115,7 +115,7 @@
   cr_assert_eq(fleet.NewWatchersStarted(), before + 2);
 }
 
-Test(StandingRoom, WatchersUseAllCapacityWithoutShortWork)
+Test(LongRunningLimit, WatchersUseAllCapacityWithoutShortWork)
 {
   SharedFleet fleet;
   fleet.SubmitNewWatchers();
@@ -125,7 +125,7 @@
 
 // Guards against a watcher that does not restart after a loss of power, because
 // the new leader defers it for quotes submitted since it started.
-Test(StandingRoom, StartedWatcherIsNotDeferredByTheNextLeader)
+Test(LongRunningLimit, StartedWatcherIsNotDeferredByTheNextLeader)
 {
   SharedFleet fleet;
   fleet.SubmitNewWatchers();
@@ -148,14 +148,14 @@
   }
 }
 
-Test(StandingRoom, RateFollowsRecentDemand)
+Test(LongRunningLimit, RateFollowsRecentDemand)
 {
-  StandingRoom room;
+  LongRunningLimit room;
   std::int64_t now = 0;
   // Ten requests per second, each of which keeps two processors busy for 100
   // ms.
   for (; now < 20000; now += 100) {
-    room.OnAsked("service", 0, 2000.0 * 100, At(now));
+    room.AddDemand("service", 0, 2000.0 * 100, At(now));
   }
   const double asked = room.DemandCpuMilli("service", 0, At(now));
   cr_assert_gt(asked, 1900);
@@ -164,25 +164,30 @@
   cr_assert_lt(room.DemandCpuMilli("service", 0, At(now + 60000)), 100);
 }
 
-Test(StandingRoom, LessUrgentDemandDefersNothing)
+Test(LongRunningLimit, LessUrgentDemandDefersNothing)
 {
-  StandingRoom room;
-  room.OnAsked("service", 2, 64000.0 * 10000, At(0));
-  cr_assert_eq(room.MostCpuMilli("service", 1, 64000, At(1000)), 64000);
-  cr_assert_lt(room.MostCpuMilli("service", 2, 64000, At(1000)), 64000);
+  LongRunningLimit room;
+  room.AddDemand("service", 2, 64000.0 * 10000, At(0));
+  cr_assert_eq(room.MaxLongRunningCpuMilli("service", 1, 64000, At(1000)),
+               64000);
+  cr_assert_lt(room.MaxLongRunningCpuMilli("service", 2, 64000, At(1000)),
+               64000);
 }
 
 // Guards against watchers that are deferred although short work always finds
 // capacity: only a miss raises the share left to short work, and only for a
 // limited time.
-Test(StandingRoom, MissRaisesTheShareLeftToShortWork)
+Test(LongRunningLimit, MissRaisesTheShareLeftToShortWork)
 {
-  StandingRoom room;
-  room.OnAsked("service", 0, 10000.0 * 2000, At(0));
-  const double before = room.MostCpuMilli("service", 0, 64000, At(1000));
-  room.OnMissed("service", 0, At(1000));
-  const double missed = room.MostCpuMilli("service", 0, 64000, At(1000));
+  LongRunningLimit room;
+  room.AddDemand("service", 0, 10000.0 * 2000, At(0));
+  const double before =
+    room.MaxLongRunningCpuMilli("service", 0, 64000, At(1000));
+  room.AddMiss("service", 0, At(1000));
+  const double missed =
+    room.MaxLongRunningCpuMilli("service", 0, 64000, At(1000));
   cr_assert_lt(missed, before);
-  cr_assert_eq(room.MostCpuMilli("other", 0, 64000, At(1000)), 64000);
-  cr_assert_gt(room.MostCpuMilli("service", 0, 64000, At(17000)), before);
+  cr_assert_eq(room.MaxLongRunningCpuMilli("other", 0, 64000, At(1000)), 64000);
+  cr_assert_gt(room.MaxLongRunningCpuMilli("service", 0, 64000, At(17000)),
+               before);
 }
--- a/Tests/Fleet/WorkerChoiceTest.cxx
+++ b/Tests/Fleet/WorkerChoiceTest.cxx
@@ -55,7 +55,7 @@
   option.worker_ = &worker;
   const StepSpec step = Backfill();
   cr_assert(MayRunOn(option, FactsOf(step)));
-  worker.strangers_.emplace("unknown.0.0.0", 1);
+  worker.unknownRuns_.emplace("unknown.0.0.0", 1);
   cr_assert_not(MayRunOn(option, FactsOf(step)));
 }
 
--- a/Tests/Measure/Policies.cxx
+++ b/Tests/Measure/Policies.cxx
@@ -90,7 +90,7 @@
     std::vector<ReactionStep> steps;
     for (std::size_t last = worker.tasks_.size(); last > 0; --last) {
       const RunningTask& task = worker.tasks_[last - 1];
-      if (worker.setAside_ || aSize.FitsIn(worker.capacity_, reserved)) {
+      if (worker.cordoned_ || aSize.FitsIn(worker.capacity_, reserved)) {
         break;
       }
       if (!task.urgent_) {
@@ -128,7 +128,7 @@
 
   static bool Fits(const TaskFacts& aTask, const WorkerFacts& aWorker)
   {
-    return !aWorker.setAside_ &&
+    return !aWorker.cordoned_ &&
            aTask.declared_.FitsIn(aWorker.capacity_, aWorker.reserved_);
   }
 
@@ -353,7 +353,7 @@
   {
     std::vector<WorkerFacts> facts(aWorkers.begin(), aWorkers.end());
     for (WorkerFacts& worker : facts) {
-      worker.setAside_ |= health_.IsSetAside(worker.workerId_, aNow);
+      worker.cordoned_ |= health_.IsSetAside(worker.workerId_, aNow);
     }
     const std::optional<std::size_t> chosen =
       placement_.Choose(aTask, facts, aNow);
--- a/Tests/Measure/World.cxx
+++ b/Tests/Measure/World.cxx
@@ -651,7 +651,7 @@
     for (const TaskReport& task : host.known_.tasks_) {
       worker.used_ += task.used_;
     }
-    worker.setAside_ = !host.up_;
+    worker.cordoned_ = !host.up_;
     for (const Task& task : host.tasks_) {
       worker.programs_.push_back(task.facts_.program_);
       worker.urgentTasks_ += task.urgent_ ? 1 : 0;
@@ -742,7 +742,7 @@
     worker.latencyMicros_ = host.known_.latencyMicros_;
     worker.samples_ = host.known_.samples_;
     worker.measuredAt_ = host.known_.measuredAt_;
-    worker.setAside_ = !host.up_;
+    worker.cordoned_ = !host.up_;
     worker.tasks_ = aTasks[index];
   }
   return pressed;
--- a/Tests/Unit/LearnedPlacementTest.cxx
+++ b/Tests/Unit/LearnedPlacementTest.cxx
@@ -135,7 +135,7 @@
   Report(placement, { "other", { 100, 1000, 0 }, { Running("modest") } });
   std::vector<WorkerFacts> workers{ Worker("full", 50000),
                                     Worker("cordoned worker", 0) };
-  workers[1].setAside_ = true;
+  workers[1].cordoned_ = true;
   for (std::int64_t time = 31000; time < 120000; time += 1000) {
     cr_assert_not(
       placement.Choose(Batch("modest", 20000), workers, At(time)).has_value());
--- a/Tests/Unit/PlacementEngineTest.cxx
+++ b/Tests/Unit/PlacementEngineTest.cxx
@@ -62,7 +62,7 @@
   Models models;
   PlacementEngine engine = models.Engine();
   std::vector<WorkerFacts> workers = Workers(8);
-  workers[7].setAside_ = true;
+  workers[7].cordoned_ = true;
   std::mt19937_64 random(3);
   for (int step = 0; step < 2000; ++step) {
     TaskFacts task = Batch("p" + std::to_string(random() % 5),
