--- a/Source/Process/FleetEntry.h
+++ b/Source/Process/FleetEntry.h
@@ -254,7 +254,7 @@
     if (lease.Holds() && leadership_ == nullptr && !stopping_ &&
         lease.IsLeader(ReadMonotonicClock())) {
       leadershipEpoch_ = lease.Epoch();
-      leadership_ = std::make_unique<FleetLead<Store>>(
+      leadership_ = std::make_unique<FleetLeader<Store>>(
         store_, lease, settings_.bounds_, settings_.fleet_.name_, [this] {
           EndLeadership();
         });
@@ -276,7 +276,7 @@
     LogChange("leading-ended",
               { { "epoch", std::to_string(leadershipEpoch_) } });
     // Deletes the leader later, because this may run in one of its callbacks.
-    std::shared_ptr<FleetLead<Store>> ended(std::move(leadership_));
+    std::shared_ptr<FleetLeader<Store>> ended(std::move(leadership_));
     QTimer::singleShot(0, this, [ended] {});
   }
 
@@ -838,7 +838,7 @@
   std::unique_ptr<HttpFront> metrics_;
   std::unique_ptr<LinkListener> listener_;
   std::set<SideLink*> peers_;
-  std::unique_ptr<FleetLead<Store>> leadership_;
+  std::unique_ptr<FleetLeader<Store>> leadership_;
   std::uint64_t leadershipEpoch_ = 0;
   bool stopping_ = false;
   StopNotice notice_;
--- a/Source/Process/FleetLead.h
+++ b/Source/Process/FleetLead.h
@@ -35,14 +35,14 @@
  * the lease; each instance belongs to exactly one epoch.
  */
 template<RowStore Store>
-class FleetLead : public QObject
+class FleetLeader : public QObject
 {
 public:
-  FleetLead(Store& aStore,
-            const LeaderLease& aLease,
-            const FleetBounds& aBounds,
-            std::string aNode,
-            std::function<void()> aLeadershipLost)
+  FleetLeader(Store& aStore,
+              const LeaderLease& aLease,
+              const FleetBounds& aBounds,
+              std::string aNode,
+              std::function<void()> aLeadershipLost)
     : store_(aStore)
     , lease_(aLease)
     , epoch_(aLease.Epoch())
@@ -77,7 +77,7 @@
     connect(&pumpTimer_, &QTimer::timeout, this, [this] { Pump(); });
   }
 
-  ~FleetLead() override
+  ~FleetLeader() override
   {
     for (auto& [node, side] : sides_) {
       DropLink(side);
--- a/Source/Process/FleetSide.h
+++ b/Source/Process/FleetSide.h
@@ -29,7 +29,7 @@
 namespace cactusrail {
 
 /** Message of a worker that it is about to exit. */
-struct WorkerFarewell
+struct WorkerLeaving
 {
   std::string id_;
 };
@@ -37,7 +37,7 @@
 /** Message of a worker to the side on its host; monostate for any other
  * message. */
 using WorkerNotice =
-  std::variant<std::monostate, WorkerAnnouncement, WorkerFarewell>;
+  std::variant<std::monostate, WorkerAnnouncement, WorkerLeaving>;
 
 /** Requirements of a side of the fleet on its platform. */
 template<typename Platform>
@@ -170,7 +170,7 @@
         LogChange("worker-announced", { { "worker", announced->facts_.id_ } });
       }
       keeper_.OnAnnounced(*announced, now);
-    } else if (const auto* leaving = std::get_if<WorkerFarewell>(&notice)) {
+    } else if (const auto* leaving = std::get_if<WorkerLeaving>(&notice)) {
       LogChange("worker-left", { { "worker", leaving->id_ } });
       keeper_.OnWorkerLeft(leaving->id_, now);
     }
--- a/Source/Process/ProgressWriter.h
+++ b/Source/Process/ProgressWriter.h
@@ -21,7 +21,7 @@
 
 /**
  * Writes the records of the leader in sequential transactions, each conditional
- * on the head row; see ProgressHead. Owned by FleetLead.
+ * on the head row; see ProgressHead. Owned by FleetLeader.
  */
 template<RowStore Store>
 class ProgressWriter : public QObject
--- a/Source/Process/WorkerKeeper.cxx
+++ b/Source/Process/WorkerKeeper.cxx
@@ -278,10 +278,10 @@
   }
 }
 
-CallHead
+CallHeader
 WorkerKeeper::Head(CallInFlight aCall, Millis aTimeout, Instant aNow)
 {
-  CallHead head;
+  CallHeader head;
   head.id_ = nextCall_++;
   head.workerId_ = aCall.workerId_;
   head.fence_ = fence_;
@@ -626,8 +626,8 @@
       return;
     case CallOutcome::Doubt:
     case CallOutcome::Fenced:
-    case CallOutcome::Late:
-    case CallOutcome::WrongLife:
+    case CallOutcome::LeaseExpired:
+    case CallOutcome::WrongIncarnation:
       // The start is retried; the next hold detects a wrong incarnation.
       run.startOutcomeUnknown_ =
         run.startOutcomeUnknown_ || aAnswer.outcome_ == CallOutcome::Doubt;
@@ -689,7 +689,8 @@
     nextHoldAt_ = aNow;
     return;
   }
-  if (aAnswer.outcome_ == CallOutcome::WrongLife && !candidate_.has_value()) {
+  if (aAnswer.outcome_ == CallOutcome::WrongIncarnation &&
+      !candidate_.has_value()) {
     // Another incarnation answers at this address, so this one has ended.
     EndIncarnation();
     return;
@@ -738,7 +739,7 @@
     }
     runs_.erase(RunKey(end.task_, end.run_));
   }
-  if (aAnswer.endsCut_) {
+  if (aAnswer.endsTruncated_) {
     return;
   }
   RemoveMissingRuns(aCall, listed, aNow);
@@ -792,7 +793,7 @@
     BeginIncarnation(*candidate_, aNow);
     return;
   }
-  if (aAnswer.outcome_ == CallOutcome::WrongLife) {
+  if (aAnswer.outcome_ == CallOutcome::WrongIncarnation) {
     pastIncarnations_.insert(aCall.workerId_);
     candidate_.reset();
     return;
--- a/Source/Process/WorkerKeeper.h
+++ b/Source/Process/WorkerKeeper.h
@@ -17,7 +17,7 @@
 namespace cactusrail {
 
 /** Fields that all calls to a worker have in common. */
-struct CallHead
+struct CallHeader
 {
   std::uint64_t id_ = 0;
   /** Incarnation of the worker to which the call applies; any other incarnation
@@ -33,20 +33,20 @@
 /** Starts a run whose lease ends at leaseUntilMs_ of the worker's clock. */
 struct StartCall
 {
-  CallHead head_;
+  CallHeader head_;
   StartOrder order_;
   std::int64_t leaseUntilMs_ = 0;
 };
 
 struct StopCall
 {
-  CallHead head_;
+  CallHeader head_;
   StopOrder order_;
 };
 
 struct PaceCall
 {
-  CallHead head_;
+  CallHeader head_;
   PaceOrder order_;
 };
 
@@ -54,7 +54,7 @@
  * "hold" is the name of this call in the platform's API. */
 struct HoldCall
 {
-  CallHead head_;
+  CallHeader head_;
   /** New end of the leases, in ms of the worker's clock; std::nullopt requests
    * the lists only. */
   std::optional<std::int64_t> leaseUntilMs_;
@@ -75,7 +75,7 @@
   /** Refused, because this run or a later run of its task has ended. */
   Old,
   /** Refused, because the requested lease has already expired. */
-  Late,
+  LeaseExpired,
   /** Refused, because the worker lacks the resources. */
   NoRoom,
   /** Refused, because the advice ticket is not valid. */
@@ -83,7 +83,7 @@
   /** The call had no effect. */
   NotDone,
   /** Refused by another incarnation of the worker. */
-  WrongLife,
+  WrongIncarnation,
   /** No answer; the worker may have executed the call or may execute it seconds
    * later. */
   Doubt,
@@ -100,7 +100,7 @@
   std::vector<RunFact> runs_;
   std::vector<EndFact> ends_;
   /** The list of ends was truncated; later answers contain the rest. */
-  bool endsCut_ = false;
+  bool endsTruncated_ = false;
 };
 
 /** Announcement of a worker, with the reading of its clock. */
@@ -247,7 +247,7 @@
 
   std::int64_t WorkerClock(Instant aNow) const;
   std::optional<std::int64_t> LeaseUntil(Millis aLease, Instant aNow);
-  CallHead Head(CallInFlight aCall, Millis aTimeout, Instant aNow);
+  CallHeader Head(CallInFlight aCall, Millis aTimeout, Instant aNow);
   void AddHold(std::vector<WorkerCall>& aCalls, Instant aNow);
   void WithdrawStarts(Instant aNow);
   std::optional<StartRefusal> WithdrawalReason(const LocalRun& aRun,
--- a/Tests/Fleet/FleetWorld.cxx
+++ b/Tests/Fleet/FleetWorld.cxx
@@ -70,11 +70,11 @@
     refused.outcome_ = CallOutcome::NotDone;
     return refused;
   }
-  const CallHead& head = std::visit(
-    [](const auto& aOne) -> const CallHead& { return aOne.head_; }, aCall);
+  const CallHeader& head = std::visit(
+    [](const auto& aOne) -> const CallHeader& { return aOne.head_; }, aCall);
   CallAnswer answer;
   if (head.workerId_ != id_) {
-    answer.outcome_ = CallOutcome::WrongLife;
+    answer.outcome_ = CallOutcome::WrongIncarnation;
     return answer;
   }
   answer.clockMs_ = MillisOf(aNow);
@@ -114,7 +114,7 @@
     return answer;
   }
   if (aCall.leaseUntilMs_ <= MillisOf(aNow)) {
-    answer.outcome_ = CallOutcome::Late;
+    answer.outcome_ = CallOutcome::LeaseExpired;
     return answer;
   }
   leaseUntil_ = std::max(leaseUntil_, At(aCall.leaseUntilMs_));
@@ -486,7 +486,8 @@
 }
 
 /**
- * As in FleetLead, the scheduler considers a link up from its first report on.
+ * As in FleetLeader, the scheduler considers a link up from its first report
+ * on.
  */
 void
 FleetWorld::DeliverReports()
--- a/Tests/Fleet/ProcessFleet.cxx
+++ b/Tests/Fleet/ProcessFleet.cxx
@@ -135,7 +135,7 @@
 {
   if (aExchange.Method() == "DELETE") {
     return WorkerNotice(
-      WorkerFarewell{ aExchange.Path().substr(kWorker.size()) });
+      WorkerLeaving{ aExchange.Path().substr(kWorker.size()) });
   }
   WorkerAnnouncement announcement;
   announcement.facts_.id_ = aExchange.Path().substr(kWorker.size());
--- a/Tests/Fleet/WorkerKeeperTest.cxx
+++ b/Tests/Fleet/WorkerKeeperTest.cxx
@@ -331,7 +331,7 @@
     if (hold.head_.workerId_ == "w0") {
       probed = true;
       CallAnswer wrong;
-      wrong.outcome_ = CallOutcome::WrongLife;
+      wrong.outcome_ = CallOutcome::WrongIncarnation;
       fixture.keeper_.OnAnswer(hold.head_.id_, wrong, At(11600));
     }
   }
