--- a/Source/Process/BackfillInterference.cxx
+++ b/Source/Process/BackfillInterference.cxx
@@ -39,7 +39,7 @@
 double
 CautiousCost(const ContentionCost& aCost)
 {
-  return aCost.mean_ + kCautionDeviations * aCost.doubt_;
+  return aCost.mean_ + kCautionDeviations * aCost.deviation_;
 }
 
 /** Returns the cost by which running backfill is slowed: 0 unless it is more
@@ -48,7 +48,7 @@
 double
 ProvenCost(const ContentionCost& aCost)
 {
-  return aCost.mean_ > kProvenDeviations * aCost.doubt_ ? aCost.mean_ : 0;
+  return aCost.mean_ > kProvenDeviations * aCost.deviation_ ? aCost.mean_ : 0;
 }
 
 }
@@ -152,7 +152,7 @@
   for (const auto& [group, count] : aServing) {
     const ContentionModel::Image serving = model_.Number(group.image_);
     const ContentionCost pair = model_.CostOf(serving, image);
-    fit.known_ = fit.known_ && pair.doubt_ <= kKnownDeviation;
+    fit.known_ = fit.known_ && pair.deviation_ <= kKnownDeviation;
     fit.harmless_ = fit.harmless_ && pair.mean_ <= kHarmlessCost;
     const double cost = CautiousCost(pair);
     if (cost < kMinCost) {
--- a/Source/Process/FleetScheduler.cxx
+++ b/Source/Process/FleetScheduler.cxx
@@ -18,7 +18,7 @@
 HealthRules()
 {
   WorkerHealth::Rules rules;
-  rules.jobsToSetAside_ = 2;
+  rules.jobsToCordon_ = 2;
   return rules;
 }
 
--- a/Source/Process/FleetSchedulerCare.cxx
+++ b/Source/Process/FleetSchedulerCare.cxx
@@ -93,10 +93,10 @@
   const double expected = 1000 * ExpectedMillis(aJob, aStep);
   aStep.micros_ += micros;
   ++aStep.timed_;
-  durations_.OnTook(aJob.Spec().queue_,
-                    aStep.spec_->estimateMs_,
-                    micros / 1000,
-                    1 / static_cast<double>(aStep.tasks_.size()));
+  durations_.OnTaskDuration(aJob.Spec().queue_,
+                            aStep.spec_->estimateMs_,
+                            micros / 1000,
+                            1 / static_cast<double>(aStep.tasks_.size()));
   const double slowness = std::clamp(micros / expected, 0.5, 10.0);
   aWorker.slowness_ += kSlownessWeight * (slowness - aWorker.slowness_);
   aWorker.slowness_ = std::max(1.0, aWorker.slowness_);
--- a/Source/Process/FleetSchedulerPlacement.cxx
+++ b/Source/Process/FleetSchedulerPlacement.cxx
@@ -321,7 +321,7 @@
     WorkerOption option;
     option.worker_ = &worker;
     option.sameStep_ = same == sameStep.end() ? 0 : same->second;
-    option.cordoned_ = health_.IsSetAside(node, aNow);
+    option.cordoned_ = health_.IsCordoned(node, aNow);
     option.reserved_ =
       reservations_.IsReservedFrom(aJob.Spec().id_, worker.node_, aNow);
     option.fit_ = FitOn(worker, aJob, *aStep.spec_);
--- a/Source/Process/SchedulerCore.cxx
+++ b/Source/Process/SchedulerCore.cxx
@@ -290,7 +290,7 @@
   if (aNow < pollAt_ || !reads_.empty()) {
     return;
   }
-  pollAt_ = aNow + timings_.pollEvery_;
+  pollAt_ = aNow + timings_.pollInterval_;
   for (const char* prefix : kPolled) {
     const std::uint64_t token = nextToken_++;
     reads_[token] = { prefix, aNow };
@@ -354,7 +354,7 @@
 void
 SchedulerCore::Private::RestartWatchAfterOutage(Instant aNow)
 {
-  if (aNow > cellsReadAt_ + kMaxMissedPolls * timings_.pollEvery_) {
+  if (aNow > cellsReadAt_ + kMaxMissedPolls * timings_.pollInterval_) {
     for (const auto& [name, cell] : cells_) {
       cell->lease_.RestartWatch(aNow);
     }
@@ -481,7 +481,7 @@
 {
   if (!aCell.lease_.Owned()) {
     if (!handingOver_ &&
-        aCell.lease_.MayTake(RankFor(aName, timings_.entrySilence_, aNow),
+        aCell.lease_.MayTake(RankFor(aName, timings_.entryTimeout_, aNow),
                              aNow)) {
       AcquireCell(aName, aCell, aNow);
     }
@@ -518,13 +518,13 @@
   // The row of a dead entry remains for a while. Handing a cell back to that
   // entry would repeatedly leave the cell without an owner, so only fresh rows
   // count.
-  const bool here = RankFor(aName, timings_.entryFresh_, aNow) == 0;
+  const bool here = RankFor(aName, timings_.entryMaxAge_, aNow) == 0;
   if (here || aCell.preferredHere_) {
     aCell.preferredElsewhereSince_ = aNow;
   }
   aCell.preferredHere_ = here;
   return !here &&
-         aNow >= aCell.preferredElsewhereSince_ + timings_.handOverAfter_;
+         aNow >= aCell.preferredElsewhereSince_ + timings_.handOverDelay_;
 }
 
 void
@@ -1150,7 +1150,7 @@
   const bool fenced = aWorker.fencedEpoch_ == aCell.lease_.Row().epoch_;
   std::optional<WorkerCommand> command;
   if (fenced && aWorker.IsUsable(timings_, aNow) &&
-      aNow < aWorker.renewDueAt_ + timings_.renewEvery_) {
+      aNow < aWorker.renewDueAt_ + timings_.renewInterval_) {
     command = NextStop(aCell, aWorker, aNow);
     if (!command.has_value()) {
       command = NextStart(aCell, aWorker, aNow);
@@ -1160,7 +1160,7 @@
     if (aNow < aWorker.renewDueAt_) {
       return;
     }
-    aWorker.renewDueAt_ = aNow + timings_.renewEvery_;
+    aWorker.renewDueAt_ = aNow + timings_.renewInterval_;
     command = Renewal(aCell, aWorker);
   }
   const CommandOrigin origin = OriginFor(aName, aCell, aWorker);
--- a/Source/Process/SchedulerWorkers.cxx
+++ b/Source/Process/SchedulerWorkers.cxx
@@ -15,7 +15,7 @@
 WorkerView::IsUsable(const WorkTimings& aTimings, Instant aNow) const
 {
   return report_.has_value() && failures_ == 0 &&
-         aNow < reportArrivedAt_ + aTimings.workerSilence_;
+         aNow < reportArrivedAt_ + aTimings.workerTimeout_;
 }
 
 Resources
--- a/Source/Version/CellLease.cxx
+++ b/Source/Version/CellLease.cxx
@@ -80,7 +80,7 @@
 CellLease::WriteSent(const CellRow&, Instant aNow)
 {
   writing_ = true;
-  beatDueAt_ = aNow + timings_.beatEvery_;
+  beatDueAt_ = aNow + timings_.heartbeatInterval_;
 }
 
 void
--- a/Source/Version/ContentionModel.cxx
+++ b/Source/Version/ContentionModel.cxx
@@ -190,10 +190,10 @@
 }
 
 void
-ContentionModel::Teach(Image aServing,
-                       Image aBackfill,
-                       double aCost,
-                       Instant aNow)
+ContentionModel::SetKnownCost(Image aServing,
+                              Image aBackfill,
+                              double aCost,
+                              Instant aNow)
 {
   CostAt(aServing, aBackfill, aNow) = { aCost, 0, aNow };
 }
--- a/Source/Version/ContentionModel.h
+++ b/Source/Version/ContentionModel.h
@@ -18,7 +18,7 @@
 {
   double mean_ = 0;
   /** Standard deviation of mean_. */
-  double doubt_ = 0;
+  double deviation_ = 0;
 };
 
 /** Learned state that one scheduler process hands to the next. Images are
@@ -111,7 +111,10 @@
   ContentionCost CostOf(Image aServing, Image aBackfill) const;
 
   /** Sets the cost of a pair to a known value with zero variance. */
-  void Teach(Image aServing, Image aBackfill, double aCost, Instant aNow);
+  void SetKnownCost(Image aServing,
+                    Image aBackfill,
+                    double aCost,
+                    Instant aNow);
 
   LearnedContention Export() const;
   /** Merges the state of another model; pairs known here are unchanged. */
--- a/Source/Version/DurationModel.cxx
+++ b/Source/Version/DurationModel.cxx
@@ -48,10 +48,10 @@
 }
 
 void
-DurationModel::OnTook(std::string_view aQueue,
-                      std::int64_t aEstimateMs,
-                      double aDurationMs,
-                      double aWeight)
+DurationModel::OnTaskDuration(std::string_view aQueue,
+                              std::int64_t aEstimateMs,
+                              double aDurationMs,
+                              double aWeight)
 {
   if (aEstimateMs <= 0 || aDurationMs <= 0 || aWeight <= 0) {
     return;
--- a/Source/Version/DurationModel.h
+++ b/Source/Version/DurationModel.h
@@ -25,10 +25,10 @@
    * divided by the task count of the step, all tasks of a step together weigh
    * as much as one: they share one estimate and its error.
    */
-  void OnTook(std::string_view aQueue,
-              std::int64_t aEstimateMs,
-              double aDurationMs,
-              double aWeight);
+  void OnTaskDuration(std::string_view aQueue,
+                      std::int64_t aEstimateMs,
+                      double aDurationMs,
+                      double aWeight);
 
   /** Returns the predicted duration in ms; 0 if the caller gave no estimate. */
   double ExpectedMillis(std::string_view aQueue,
--- a/Source/Version/InterferenceModel.cxx
+++ b/Source/Version/InterferenceModel.cxx
@@ -136,11 +136,11 @@
 }
 
 void
-InterferenceModel::Teach(Program aVictim,
-                         Program aAggressor,
-                         double aIdle,
-                         double aLoaded,
-                         Instant aNow)
+InterferenceModel::SetKnownCost(Program aVictim,
+                                Program aAggressor,
+                                double aIdle,
+                                double aLoaded,
+                                Instant aNow)
 {
   Victim& victim = VictimAt(aVictim);
   if (aAggressor >= victim.pairs_.size()) {
--- a/Source/Version/InterferenceModel.h
+++ b/Source/Version/InterferenceModel.h
@@ -67,11 +67,11 @@
 
   /** Sets the slowdowns of a pair to known values, given by an operator or an
    * oracle. */
-  void Teach(Program aVictim,
-             Program aAggressor,
-             double aIdle,
-             double aLoaded,
-             Instant aNow);
+  void SetKnownCost(Program aVictim,
+                    Program aAggressor,
+                    double aIdle,
+                    double aLoaded,
+                    Instant aNow);
 
   /** Returns the slowdown that one unthrottled task adds to the victim at this
    * load. */
--- a/Source/Version/Reaction.cxx
+++ b/Source/Version/Reaction.cxx
@@ -73,7 +73,7 @@
 
 void
 Reaction::Observe(WorkerState& aState,
-                  const PressedWorker& aWorker,
+                  const WorkerPressure& aWorker,
                   const InterferenceModel& aModel,
                   InterferenceModel::Program aVictim) const
 {
@@ -87,7 +87,7 @@
 }
 
 std::vector<ReactionStep>
-Reaction::Decide(std::span<const PressedWorker> aWorkers,
+Reaction::Decide(std::span<const WorkerPressure> aWorkers,
                  const InterferenceModel& aModel,
                  InterferenceModel::Program aVictim,
                  Instant aNow)
@@ -95,7 +95,7 @@
   std::vector<ReactionStep> steps;
   std::vector<Candidate> candidates;
   for (std::size_t index = 0; index < aWorkers.size(); ++index) {
-    const PressedWorker& worker = aWorkers[index];
+    const WorkerPressure& worker = aWorkers[index];
     WorkerState& memory = workers_[worker.workerId_];
     Observe(memory, worker, aModel, aVictim);
     candidates.clear();
@@ -144,7 +144,7 @@
 void
 Reaction::Relieve(std::vector<ReactionStep>& aSteps,
                   std::size_t aIndex,
-                  const PressedWorker& aWorker,
+                  const WorkerPressure& aWorker,
                   std::span<const Candidate> aCandidates,
                   double aExcess,
                   WorkerState& aState,
@@ -181,7 +181,7 @@
 void
 Reaction::Remove(std::vector<ReactionStep>& aSteps,
                  std::size_t aIndex,
-                 const PressedWorker& aWorker,
+                 const WorkerPressure& aWorker,
                  std::span<const Candidate> aCandidates,
                  double aExcess,
                  WorkerState& aState,
@@ -220,7 +220,7 @@
 void
 Reaction::Release(std::vector<ReactionStep>& aSteps,
                   std::size_t aIndex,
-                  const PressedWorker& aWorker,
+                  const WorkerPressure& aWorker,
                   std::span<const Candidate> aCandidates,
                   double aAllowance,
                   WorkerState& aState,
@@ -245,15 +245,15 @@
 }
 
 std::vector<ReactionStep>
-Reaction::MakeRoom(const Resources& aSize,
-                   std::span<const PressedWorker> aWorkers,
-                   Instant aNow)
+Reaction::FreeCapacity(const Resources& aSize,
+                       std::span<const WorkerPressure> aWorkers,
+                       Instant aNow)
 {
   std::vector<ReactionStep> best;
   double bestPrice = std::numeric_limits<double>::max();
   std::size_t bestEvictions = 0;
   for (std::size_t index = 0; index < aWorkers.size(); ++index) {
-    const PressedWorker& worker = aWorkers[index];
+    const WorkerPressure& worker = aWorkers[index];
     if (worker.cordoned_) {
       continue;
     }
--- a/Source/Version/Reaction.h
+++ b/Source/Version/Reaction.h
@@ -35,7 +35,7 @@
 };
 
 /** A worker with the load and latency of its urgent work. */
-struct PressedWorker
+struct WorkerPressure
 {
   std::string workerId_;
   Resources capacity_;
@@ -103,7 +103,7 @@
   Reaction(const Rules& aRules, const PolicyWeights& aWeights);
 
   /** Returns the steps to take now; the caller must carry out all of them. */
-  std::vector<ReactionStep> Decide(std::span<const PressedWorker> aWorkers,
+  std::vector<ReactionStep> Decide(std::span<const WorkerPressure> aWorkers,
                                    const InterferenceModel& aModel,
                                    InterferenceModel::Program aVictim,
                                    Instant aNow);
@@ -111,9 +111,10 @@
   /** Returns the steps that free capacity for an urgent task, all on one
    * worker; empty if none are needed or possible. The evictions count as
    * carried out. */
-  std::vector<ReactionStep> MakeRoom(const Resources& aSize,
-                                     std::span<const PressedWorker> aWorkers,
-                                     Instant aNow);
+  std::vector<ReactionStep> FreeCapacity(
+    const Resources& aSize,
+    std::span<const WorkerPressure> aWorkers,
+    Instant aNow);
 
 private:
   struct WorkerState
@@ -144,26 +145,26 @@
   /** Returns the slowdown beyond 1 that is allowed at this load. */
   double AllowedAt(double aLoad) const;
   void Observe(WorkerState& aState,
-               const PressedWorker& aWorker,
+               const WorkerPressure& aWorker,
                const InterferenceModel& aModel,
                InterferenceModel::Program aVictim) const;
   void Relieve(std::vector<ReactionStep>& aSteps,
                std::size_t aIndex,
-               const PressedWorker& aWorker,
+               const WorkerPressure& aWorker,
                std::span<const Candidate> aCandidates,
                double aExcess,
                WorkerState& aState,
                Instant aNow);
   void Remove(std::vector<ReactionStep>& aSteps,
               std::size_t aIndex,
-              const PressedWorker& aWorker,
+              const WorkerPressure& aWorker,
               std::span<const Candidate> aCandidates,
               double aExcess,
               WorkerState& aState,
               Instant aNow);
   void Release(std::vector<ReactionStep>& aSteps,
                std::size_t aIndex,
-               const PressedWorker& aWorker,
+               const WorkerPressure& aWorker,
                std::span<const Candidate> aCandidates,
                double aAllowance,
                WorkerState& aState,
--- a/Source/Version/ReturnPacing.cxx
+++ b/Source/Version/ReturnPacing.cxx
@@ -5,13 +5,13 @@
 
 namespace cactusrail {
 
-ReturnPacing::ReturnPacing(const Rules& aRules)
+RecoveryRateLimiter::RecoveryRateLimiter(const Rules& aRules)
   : rules_(aRules)
 {
 }
 
 Instant
-ReturnPacing::RandomDelayFrom(Instant aNow, std::uint64_t aRandom) const
+RecoveryRateLimiter::RandomDelayFrom(Instant aNow, std::uint64_t aRandom) const
 {
   const auto maxWaitMicros =
     static_cast<std::uint64_t>(Micros(rules_.maxWait_).count());
@@ -20,7 +20,7 @@
 }
 
 void
-ReturnPacing::OnOutage(Instant aNow, std::uint64_t aRandom)
+RecoveryRateLimiter::OnOutage(Instant aNow, std::uint64_t aRandom)
 {
   limited_ = true;
   perSecond_ = rules_.initialPerSecond_;
@@ -29,7 +29,7 @@
 }
 
 void
-ReturnPacing::OnSuccess(Instant aNow)
+RecoveryRateLimiter::OnSuccess(Instant aNow)
 {
   if (!limited_ || aNow < rateChangedAt_ + rules_.doublingInterval_) {
     return;
@@ -40,7 +40,7 @@
 }
 
 void
-ReturnPacing::OnFailure(Instant aNow, std::uint64_t aRandom)
+RecoveryRateLimiter::OnFailure(Instant aNow, std::uint64_t aRandom)
 {
   if (!limited_) {
     OnOutage(aNow, aRandom);
@@ -52,7 +52,7 @@
 }
 
 bool
-ReturnPacing::TryTake(Instant aNow)
+RecoveryRateLimiter::TryTake(Instant aNow)
 {
   if (!limited_) {
     return true;
@@ -65,13 +65,13 @@
 }
 
 Instant
-ReturnPacing::NextAt() const
+RecoveryRateLimiter::NextAt() const
 {
   return nextAt_;
 }
 
 bool
-ReturnPacing::IsLimited() const
+RecoveryRateLimiter::IsLimited() const
 {
   return limited_;
 }
--- a/Source/Version/ReturnPacing.h
+++ b/Source/Version/ReturnPacing.h
@@ -13,7 +13,7 @@
  * starts at a low rate, doubles it while writes succeed and halves it when one
  * fails. Does no I/O and reads no clock; the caller supplies random numbers.
  */
-class ReturnPacing
+class RecoveryRateLimiter
 {
 public:
   struct Rules
@@ -24,7 +24,7 @@
     Millis maxWait_{ 2000 };
   };
 
-  explicit ReturnPacing(const Rules& aRules);
+  explicit RecoveryRateLimiter(const Rules& aRules);
 
   /** Starts rate limiting after the service became unreachable. Single writes
    * then serve as probes. */
--- a/Source/Version/WorkerHealth.cxx
+++ b/Source/Version/WorkerHealth.cxx
@@ -41,7 +41,7 @@
   }
   worker.failedJobs_.insert(jobName);
   job.failedWorkers_.insert(workerName);
-  if (worker.failedJobs_.size() >= rules_.jobsToSetAside_) {
+  if (worker.failedJobs_.size() >= rules_.jobsToCordon_) {
     Cordon(workerName, worker, aNow);
     return;
   }
@@ -82,7 +82,7 @@
 }
 
 bool
-WorkerHealth::IsSetAside(std::string_view aWorker, Instant aNow) const
+WorkerHealth::IsCordoned(std::string_view aWorker, Instant aNow) const
 {
   const auto found = workers_.find(std::string(aWorker));
   return found != workers_.end() && found->second.cordoned_ &&
--- a/Source/Version/WorkerHealth.h
+++ b/Source/Version/WorkerHealth.h
@@ -24,7 +24,7 @@
   {
     /** Number of different jobs that fail on a worker, with no success in
      * between, before the worker is cordoned. */
-    std::size_t jobsToSetAside_ = 3;
+    std::size_t jobsToCordon_ = 3;
     /** Number of different workers on which a job fails, without any success,
      * before the job is parked. */
     std::size_t workersToPark_ = 3;
@@ -43,7 +43,7 @@
   void OnStart(std::string_view aWorker, Instant aNow);
 
   /** Returns whether the worker is cordoned and not yet due for a probe. */
-  bool IsSetAside(std::string_view aWorker, Instant aNow) const;
+  bool IsCordoned(std::string_view aWorker, Instant aNow) const;
   bool IsParked(std::string_view aJob) const;
   /** Returns the reason as sentences for operators; empty if the job is not
    * parked. */
--- a/Tests/Fleet/FleetHarmTest.cxx
+++ b/Tests/Fleet/FleetHarmTest.cxx
@@ -49,7 +49,8 @@
   bench.scheduler_.OnJobStored(HarmBench::Serving(), bench.now_);
   bench.Run(Millis(2000));
   ContentionModel& model = bench.scheduler_.Interference().Model();
-  model.Teach(model.Number("victim"), model.Number("aggressor"), 0, bench.now_);
+  model.SetKnownCost(
+    model.Number("victim"), model.Number("aggressor"), 0, bench.now_);
   bench.scheduler_.OnJobStored(HarmBench::Backfill("batch"), bench.now_);
   bench.Run(Millis(1000));
   bench.latency_ = 12;
@@ -70,7 +71,8 @@
   bench.scheduler_.OnJobStored(HarmBench::Serving(), bench.now_);
   bench.Run(Millis(2000));
   ContentionModel& model = bench.scheduler_.Interference().Model();
-  model.Teach(model.Number("victim"), model.Number("aggressor"), 3, bench.now_);
+  model.SetKnownCost(
+    model.Number("victim"), model.Number("aggressor"), 3, bench.now_);
   bench.scheduler_.OnJobStored(HarmBench::Backfill("batch"), bench.now_);
   bench.Run(Millis(1000));
   cr_assert_not(bench.Runs("batch"));
@@ -86,7 +88,7 @@
 {
   HarmBench first;
   ContentionModel& known = first.scheduler_.Interference().Model();
-  known.Teach(
+  known.SetKnownCost(
     known.Number("victim"), known.Number("aggressor"), 0.4, first.now_);
   HarmBench second;
   ContentionModel& model = second.scheduler_.Interference().Model();
@@ -109,7 +111,7 @@
     bench.scheduler_.OnJobStored(HarmBench::Serving(), bench.now_);
     bench.Run(Millis(3000));
     ContentionModel& model = bench.scheduler_.Interference().Model();
-    model.Teach(
+    model.SetKnownCost(
       model.Number("victim"), model.Number("aggressor"), cost, bench.now_);
     JobDescription batch = HarmBench::Backfill("batch");
     batch.steps_.front().count_ = 8;
--- a/Tests/Fleet/StarvingBackfillTest.cxx
+++ b/Tests/Fleet/StarvingBackfillTest.cxx
@@ -37,7 +37,7 @@
   void TeachInterference()
   {
     ContentionModel& model = bench_.scheduler_.Interference().Model();
-    model.Teach(
+    model.SetKnownCost(
       model.Number("victim"), model.Number("aggressor"), 3, bench_.now_);
   }
 
--- a/Tests/Golden/WorkWorld.h
+++ b/Tests/Golden/WorkWorld.h
@@ -419,7 +419,7 @@
     if (entry.alive_ && !entry.frozen_ && tableMode_ != "down") {
       Put(cactusrail::kEntryPrefix + aName, "{}");
     }
-    const auto interval = options_.timings_.entrySilence_.count() / 3;
+    const auto interval = options_.timings_.entryTimeout_.count() / 3;
     At(now_ + interval, [this, aName] { TickPresence(aName); });
   }
 
--- a/Tests/Measure/DecisionBench.cxx
+++ b/Tests/Measure/DecisionBench.cxx
@@ -67,7 +67,7 @@
   for (std::size_t number = 0; number < kPrograms; ++number) {
     const auto program =
       cluster.model_.Number("program" + std::to_string(number));
-    cluster.model_.Teach(
+    cluster.model_.SetKnownCost(
       cluster.victim_, program, 0.001, number % 8 == 0 ? 0.1 : 0.01, Instant());
   }
   for (std::size_t number = 0; number < aWorkers; ++number) {
--- a/Tests/Measure/Policies.cxx
+++ b/Tests/Measure/Policies.cxx
@@ -59,12 +59,12 @@
    * Evicts the newest batch task where requests are slow, which is the usual
    * strategy.
    */
-  std::vector<ReactionStep> React(std::span<const PressedWorker> aWorkers,
+  std::vector<ReactionStep> React(std::span<const WorkerPressure> aWorkers,
                                   Instant aNow) override
   {
     std::vector<ReactionStep> steps;
     for (std::size_t index = 0; evicts_ && index < aWorkers.size(); ++index) {
-      const PressedWorker& worker = aWorkers[index];
+      const WorkerPressure& worker = aWorkers[index];
       const double limit = deployment_.serviceMs_ * 1000 * kSlowRatio;
       if (worker.latencyMicros_ < limit || aNow < quietUntil_[index]) {
         continue;
@@ -80,12 +80,13 @@
     return steps;
   }
 
-  std::vector<ReactionStep> MakeRoom(const Resources& aSize,
-                                     std::span<const PressedWorker> aWorkers,
-                                     Instant) override
+  std::vector<ReactionStep> FreeCapacity(
+    const Resources& aSize,
+    std::span<const WorkerPressure> aWorkers,
+    Instant) override
   {
     const std::size_t index = random_() % aWorkers.size();
-    const PressedWorker& worker = aWorkers[index];
+    const WorkerPressure& worker = aWorkers[index];
     Resources reserved = worker.reserved_;
     std::vector<ReactionStep> steps;
     for (std::size_t last = worker.tasks_.size(); last > 0; --last) {
@@ -353,7 +354,7 @@
   {
     std::vector<WorkerFacts> facts(aWorkers.begin(), aWorkers.end());
     for (WorkerFacts& worker : facts) {
-      worker.cordoned_ |= health_.IsSetAside(worker.workerId_, aNow);
+      worker.cordoned_ |= health_.IsCordoned(worker.workerId_, aNow);
     }
     const std::optional<std::size_t> chosen =
       placement_.Choose(aTask, facts, aNow);
@@ -397,10 +398,10 @@
     return health_.IsParked(aProgram);
   }
 
-  std::vector<ReactionStep> React(std::span<const PressedWorker> aWorkers,
+  std::vector<ReactionStep> React(std::span<const WorkerPressure> aWorkers,
                                   Instant aNow) override
   {
-    for (const PressedWorker& worker : aWorkers) {
+    for (const WorkerPressure& worker : aWorkers) {
       std::vector<Neighbour> neighbours;
       for (const RunningTask& task : worker.tasks_) {
         if (!task.urgent_) {
@@ -413,11 +414,12 @@
     return reaction_.Decide(aWorkers, model_, victim_, aNow);
   }
 
-  std::vector<ReactionStep> MakeRoom(const Resources& aSize,
-                                     std::span<const PressedWorker> aWorkers,
-                                     Instant aNow) override
+  std::vector<ReactionStep> FreeCapacity(
+    const Resources& aSize,
+    std::span<const WorkerPressure> aWorkers,
+    Instant aNow) override
   {
-    return reaction_.MakeRoom(aSize, aWorkers, aNow);
+    return reaction_.FreeCapacity(aSize, aWorkers, aNow);
   }
 
 protected:
@@ -472,18 +474,18 @@
     }
   }
 
-  std::vector<ReactionStep> React(std::span<const PressedWorker> aWorkers,
+  std::vector<ReactionStep> React(std::span<const WorkerPressure> aWorkers,
                                   Instant aNow) override
   {
     for (const HiddenProgram& program : scenario_.programs_) {
       const double urgentSlowdown = hiddenState_.UrgentSlowdown(program.name_);
-      model_.Teach(victim_,
-                   model_.Number(program.name_),
-                   urgentSlowdown * LoadShape(0),
-                   urgentSlowdown * LoadShape(1),
-                   aNow);
+      model_.SetKnownCost(victim_,
+                          model_.Number(program.name_),
+                          urgentSlowdown * LoadShape(0),
+                          urgentSlowdown * LoadShape(1),
+                          aNow);
     }
-    std::vector<PressedWorker> workers(aWorkers.begin(), aWorkers.end());
+    std::vector<WorkerPressure> workers(aWorkers.begin(), aWorkers.end());
     for (std::size_t index = 0; index < workers.size(); ++index) {
       workers[index].urgentLoad_ = hiddenState_.Load(index);
       workers[index].latencyMicros_ = 0;
--- a/Tests/Measure/Policy.h
+++ b/Tests/Measure/Policy.h
@@ -73,11 +73,11 @@
   /** Returns whether the program's tasks are parked because they can't run. */
   virtual bool IsParked(const std::string&) { return false; }
   virtual std::vector<ReactionStep> React(
-    std::span<const PressedWorker> aWorkers,
+    std::span<const WorkerPressure> aWorkers,
     Instant aNow) = 0;
-  virtual std::vector<ReactionStep> MakeRoom(
+  virtual std::vector<ReactionStep> FreeCapacity(
     const Resources& aSize,
-    std::span<const PressedWorker> aWorkers,
+    std::span<const WorkerPressure> aWorkers,
     Instant aNow) = 0;
 };
 
--- a/Tests/Measure/World.cxx
+++ b/Tests/Measure/World.cxx
@@ -155,7 +155,7 @@
   void Apply(std::span<const ReactionStep> aSteps, Policy& aPolicy);
   void Requeue(Task aTask, bool aKeepsProgress);
   std::vector<WorkerFacts> Facts() const;
-  std::vector<PressedWorker> Pressed(
+  std::vector<WorkerPressure> Pressed(
     std::vector<std::vector<RunningTask>>& aTasks) const;
   Resources Reserved(const Host& aHost) const;
   double Crossing(std::size_t aEntry, std::size_t aRunner) const;
@@ -689,8 +689,8 @@
   while (!urgentWaiting_.empty()) {
     if (!TryPlace(urgentWaiting_.front(), aPolicy)) {
       std::vector<std::vector<RunningTask>> tasks;
-      const std::vector<PressedWorker> pressed = Pressed(tasks);
-      Apply(aPolicy.MakeRoom(
+      const std::vector<WorkerPressure> pressed = Pressed(tasks);
+      Apply(aPolicy.FreeCapacity(
               urgentWaiting_.front().facts_.declared_, pressed, At(now_)),
             aPolicy);
       return;
@@ -710,10 +710,10 @@
   }
 }
 
-std::vector<PressedWorker>
+std::vector<WorkerPressure>
 World::Private::Pressed(std::vector<std::vector<RunningTask>>& aTasks) const
 {
-  std::vector<PressedWorker> pressed(hosts_.size());
+  std::vector<WorkerPressure> pressed(hosts_.size());
   aTasks.resize(hosts_.size());
   for (std::size_t index = 0; index < hosts_.size(); ++index) {
     const Host& host = hosts_[index];
@@ -734,7 +734,7 @@
       }
       aTasks[index].push_back(std::move(running));
     }
-    PressedWorker& worker = pressed[index];
+    WorkerPressure& worker = pressed[index];
     worker.workerId_ = "worker" + std::to_string(index);
     worker.capacity_ = deployment_.capacity_;
     worker.reserved_ = Reserved(host);
@@ -752,7 +752,7 @@
 World::Private::React(Policy& aPolicy)
 {
   std::vector<std::vector<RunningTask>> tasks;
-  const std::vector<PressedWorker> pressed = Pressed(tasks);
+  const std::vector<WorkerPressure> pressed = Pressed(tasks);
   Apply(aPolicy.React(pressed, At(now_)), aPolicy);
 }
 
--- a/Tests/Unit/ContentionModelTest.cxx
+++ b/Tests/Unit/ContentionModelTest.cxx
@@ -103,7 +103,7 @@
   const ContentionCost second =
     bench.model_.CostOf(bench.watcher_, bench.batch_);
   cr_assert_float_eq(second.mean_, first.mean_, 0.04);
-  cr_assert_lt(second.doubt_, 0.06);
+  cr_assert_lt(second.deviation_, 0.06);
 }
 
 // The watcher's own requests make its latency vary by a factor of two next to a
@@ -122,7 +122,7 @@
 {
   ContentionBench bench;
   const ContentionCost cost = bench.model_.CostOf(bench.watcher_, bench.batch_);
-  cr_assert_gt(cost.doubt_, 0.1);
+  cr_assert_gt(cost.deviation_, 0.1);
 }
 
 // The latency of a saturated task does not show by how much its load exceeds
--- a/Tests/Unit/DurationModelTest.cxx
+++ b/Tests/Unit/DurationModelTest.cxx
@@ -54,7 +54,7 @@
   for (std::size_t i = 0; i < aSteps; ++i) {
     const Step step = generator.Next();
     if (aLearn) {
-      model.OnTook("batch", step.estimateMs_, step.durationMs_, 1);
+      model.OnTaskDuration("batch", step.estimateMs_, step.durationMs_, 1);
     }
   }
   double squares = 0;
@@ -95,7 +95,8 @@
   DurationModel model;
   for (int i = 0; i < 10; ++i) {
     const std::int64_t estimate = 500 + 100 * i;
-    model.OnTook("batch", estimate, 3.0 * static_cast<double>(estimate), 1);
+    model.OnTaskDuration(
+      "batch", estimate, 3.0 * static_cast<double>(estimate), 1);
   }
   const double expected = model.ExpectedMillis("batch", 1000);
   cr_assert_gt(expected, 2400);
@@ -107,7 +108,7 @@
 Test(DurationModel, ReturnsEstimateWithoutSamples)
 {
   DurationModel model;
-  model.OnTook("batch", 1000, 4000, 1);
+  model.OnTaskDuration("batch", 1000, 4000, 1);
   cr_assert_float_eq(model.ExpectedMillis("urgent", 700), 700, 0.1);
   cr_assert_float_eq(model.ExpectedMillis("batch", 0), 0, 0.1);
 }
--- a/Tests/Unit/PlacementEngineTest.cxx
+++ b/Tests/Unit/PlacementEngineTest.cxx
@@ -103,7 +103,7 @@
 {
   Models models;
   const auto disruptive = models.model_.Number("loud");
-  models.model_.Teach(models.victim_, disruptive, 0.1, 0.2, At(0));
+  models.model_.SetKnownCost(models.victim_, disruptive, 0.1, 0.2, At(0));
   PlacementEngine engine = models.Engine();
   std::vector<WorkerFacts> workers = Workers(10);
   for (int count = 0; count < 20; ++count) {
--- a/Tests/Unit/ReactionTest.cxx
+++ b/Tests/Unit/ReactionTest.cxx
@@ -18,8 +18,8 @@
   explicit Fixture(const PolicyWeights& aWeights)
     : reaction_(Reaction::Rules{}, aWeights)
   {
-    model_.Teach(victim_, model_.Number("loud"), 0.4, 0.4, At(0));
-    model_.Teach(victim_, model_.Number("quiet"), 0.001, 0.001, At(0));
+    model_.SetKnownCost(victim_, model_.Number("loud"), 0.4, 0.4, At(0));
+    model_.SetKnownCost(victim_, model_.Number("quiet"), 0.001, 0.001, At(0));
   }
 
   void Add(const std::string& aProgram, bool aPayout, bool aCanCheckpoint)
@@ -36,7 +36,7 @@
   /** Returns the steps of Reaction::Decide() and applies their throttles. */
   std::vector<ReactionStep> Decide(double aLoad, std::int64_t aMillis)
   {
-    PressedWorker worker;
+    WorkerPressure worker;
     worker.workerId_ = "worker";
     worker.urgentLoad_ = aLoad;
     worker.tasks_ = tasks_;
@@ -132,12 +132,12 @@
   Fixture fixture(kEvictionAverse);
   fixture.Add("quiet", true, false);
   fixture.Add("quiet", false, true);
-  PressedWorker worker;
+  WorkerPressure worker;
   worker.workerId_ = "worker";
   worker.capacity_ = Resources{ 16000, 60000, 0 };
   worker.reserved_ = Resources{ 15000, 2000, 0 };
   worker.tasks_ = fixture.tasks_;
-  const std::vector<ReactionStep> steps = fixture.reaction_.MakeRoom(
+  const std::vector<ReactionStep> steps = fixture.reaction_.FreeCapacity(
     Resources{ 4000, 1000, 0 }, { &worker, 1 }, At(0));
   cr_assert_eq(steps.size(), 1);
   cr_assert_eq(steps[0].kind_, ReactionKind::Move);
--- a/Tests/Unit/WorkRandomTest.cxx
+++ b/Tests/Unit/WorkRandomTest.cxx
@@ -35,13 +35,13 @@
   options.delayRate_ = 0.03;
   options.traced_ = std::getenv("WORK_SEED") != nullptr;
   options.timings_.cellLease_ = std::chrono::seconds(4);
-  options.timings_.beatEvery_ = std::chrono::seconds(1);
+  options.timings_.heartbeatInterval_ = std::chrono::seconds(1);
   options.timings_.taskLease_ = std::chrono::seconds(5);
   options.timings_.ownerGrace_ = std::chrono::seconds(6);
   options.timings_.margin_ = Millis(300);
-  options.timings_.entrySilence_ = std::chrono::seconds(4);
-  options.timings_.entryFresh_ = std::chrono::seconds(2);
-  options.timings_.handOverAfter_ = std::chrono::seconds(4);
+  options.timings_.entryTimeout_ = std::chrono::seconds(4);
+  options.timings_.entryMaxAge_ = std::chrono::seconds(2);
+  options.timings_.handOverDelay_ = std::chrono::seconds(4);
   return options;
 }
 
--- a/Tests/Unit/WorkerHealthTest.cxx
+++ b/Tests/Unit/WorkerHealthTest.cxx
@@ -22,19 +22,19 @@
 {
   WorkerHealth health(WorkerHealth::Rules{});
   for (const char* job : { "a", "b", "c" }) {
-    cr_assert_not(health.IsSetAside("bad", At(0)));
+    cr_assert_not(health.IsCordoned("bad", At(0)));
     health.OnFailure("bad", job, At(0));
   }
-  cr_assert(health.IsSetAside("bad", At(100)));
+  cr_assert(health.IsCordoned("bad", At(100)));
   cr_assert_not(health.IsParked("a"));
-  cr_assert_not(health.IsSetAside("bad", At(5100)), "a probe is due");
+  cr_assert_not(health.IsCordoned("bad", At(5100)), "a probe is due");
   health.OnStart("bad", At(5100));
-  cr_assert(health.IsSetAside("bad", At(5200)), "one probe only");
+  cr_assert(health.IsCordoned("bad", At(5200)), "one probe only");
   health.OnFailure("bad", "a", At(5300));
-  cr_assert(health.IsSetAside("bad", At(14000)),
+  cr_assert(health.IsCordoned("bad", At(14000)),
             "the pause before the next probe has doubled");
   health.OnSuccess("bad", "a");
-  cr_assert_not(health.IsSetAside("bad", At(14001)));
+  cr_assert_not(health.IsCordoned("bad", At(14001)));
 }
 
 // A job that fails everywhere must not cause the cordoning of each worker on
@@ -50,7 +50,7 @@
                 std::string::npos);
   health.OnFailure("one", "a", At(1));
   health.OnFailure("one", "b", At(1));
-  cr_assert_not(health.IsSetAside("one", At(2)),
+  cr_assert_not(health.IsCordoned("one", At(2)),
                 "two failures of its own do not cordon a worker");
   health.Unpark("impossible");
   cr_assert_not(health.IsParked("impossible"));
@@ -99,12 +99,12 @@
 
 // After an outage of the table service, a thousand processes that send their
 // deferred writes at once would overload it again.
-Test(ReturnPacing, ProcessesResumeSpreadOutAndAtALowRate)
+Test(RecoveryRateLimiter, ProcessesResumeSpreadOutAndAtALowRate)
 {
   int first = 0;
   int inFirstSecond = 0;
   for (std::uint64_t process = 0; process < 1000; ++process) {
-    ReturnPacing pacing(ReturnPacing::Rules{});
+    RecoveryRateLimiter pacing(RecoveryRateLimiter::Rules{});
     pacing.OnOutage(At(0), process * 2003);
     for (std::int64_t time = 0; time < 1000; ++time) {
       if (pacing.TryTake(At(time))) {
@@ -118,9 +118,9 @@
   cr_assert_leq(inFirstSecond, 2000);
 }
 
-Test(ReturnPacing, RateGrowsOnSuccessUntilLimitingEnds)
+Test(RecoveryRateLimiter, RateGrowsOnSuccessUntilLimitingEnds)
 {
-  ReturnPacing pacing(ReturnPacing::Rules{});
+  RecoveryRateLimiter pacing(RecoveryRateLimiter::Rules{});
   cr_assert(pacing.TryTake(At(0)));
   pacing.OnFailure(At(0), 0);
   cr_assert(pacing.IsLimited());
