--- a/Source/Process/ConfigurationKeeper.cxx
+++ b/Source/Process/ConfigurationKeeper.cxx
@@ -41,7 +41,7 @@
   void Do(const ReadConfigurationRow& aAction);
   void Do(const AskPeersForConfiguration& aAction);
   void Do(const WriteConfigurationRow& aAction);
-  void Do(const TakeConfiguration& aAction);
+  void Do(const SetConfiguration& aAction);
   void Do(const AnswerConfigurationChange& aAction);
   static void Do(const RaiseConfigurationAlarm& aAction);
   void Put(const HttpExchange& aExchange);
@@ -104,7 +104,7 @@
 }
 
 void
-ConfigurationKeeper::Private::Do(const TakeConfiguration& aAction)
+ConfigurationKeeper::Private::Do(const SetConfiguration& aAction)
 {
   if (holder_.Offer(aAction.configuration_)) {
     LogChange("configuration",
--- a/Source/Process/FleetJob.cxx
+++ b/Source/Process/FleetJob.cxx
@@ -195,7 +195,7 @@
 void
 FleetJob::AddStepProgress(const FleetStep& aStep, JobProgress& aProgress)
 {
-  StepNote note;
+  StepProgress note;
   note.occurrence_ = aStep.occurrence_;
   note.step_ = aStep.index_;
   note.allDone_ = aStep.AllDone();
@@ -234,7 +234,7 @@
 }
 
 void
-FleetJob::RestoreStep(const StepNote& aNote, Instant aNow)
+FleetJob::RestoreStep(const StepProgress& aNote, Instant aNow)
 {
   while (nextOccurrence_ <= aNote.occurrence_ &&
          nextOccurrence_ < OccurrenceCount()) {
@@ -253,7 +253,7 @@
       OnDone(*step, step->tasks_[index], aNow);
     }
   }
-  for (const TaskNote& note : aNote.tasks_) {
+  for (const TaskProgress& note : aNote.tasks_) {
     if (note.index_ < step->tasks_.size()) {
       FleetTask& task = step->tasks_[note.index_];
       task.failedRuns_ = note.failedRuns_;
@@ -271,7 +271,7 @@
   nextOccurrence_ = std::max(nextOccurrence_, occurrencesDone_);
   everStarted_ = everStarted_ || occurrencesDone_ > 0 ||
                  aProgress.state_ != JobState::Pending;
-  for (const StepNote& note : aProgress.steps_) {
+  for (const StepProgress& note : aProgress.steps_) {
     RestoreStep(note, aNow);
   }
 }
--- a/Source/Process/FleetJob.h
+++ b/Source/Process/FleetJob.h
@@ -189,7 +189,7 @@
   void OpenSteps(FleetOccurrence& aOccurrence, Instant aNow);
   void OnStepDone(std::uint32_t aOccurrence, Instant aNow);
   std::uint32_t OccurrenceCount() const;
-  void RestoreStep(const StepNote& aNote, Instant aNow);
+  void RestoreStep(const StepProgress& aNote, Instant aNow);
   static void AddStepProgress(const FleetStep& aStep, JobProgress& aProgress);
 
   JobDescription spec_;
--- a/Source/Process/SchedulerCore.cxx
+++ b/Source/Process/SchedulerCore.cxx
@@ -356,7 +356,7 @@
 {
   if (aNow > cellsReadAt_ + kMaxMissedPolls * timings_.pollInterval_) {
     for (const auto& [name, cell] : cells_) {
-      cell->lease_.RestartWatch(aNow);
+      cell->lease_.RestartExpiryWait(aNow);
     }
   }
   cellsReadAt_ = aNow;
@@ -541,7 +541,7 @@
     CollectPlacements(aName, aCell, ledger, write, aNow);
   }
   const bool changed = !write.jobs_.empty();
-  if (!changed && !handOver && !aCell.lease_.BeatDue(aNow)) {
+  if (!changed && !handOver && !aCell.lease_.RenewalDue(aNow)) {
     return;
   }
   for (Reservation& reservation : ledger.Row().reservations_) {
@@ -946,11 +946,11 @@
   if (const auto* failure = std::get_if<Failure>(&aOutcome)) {
     if (failure->verdict_ == Verdict::DidNotRun) {
       cell.lease_.WriteFailed(aNow);
-      if (!cell.lease_.InDoubt()) {
+      if (!cell.lease_.HasUnresolvedWrite()) {
         cell.releasing_.clear();
       }
     } else {
-      cell.lease_.WriteDoubtful(aWrite.next_, aWrite.sentAt_, aNow);
+      cell.lease_.WriteOutcomeUnknown(aWrite.next_, aWrite.sentAt_, aNow);
       Sync(cell, nullptr, aNow);
     }
     pollAt_ = std::min(pollAt_, aNow);
@@ -962,7 +962,7 @@
     return;
   }
   cell.lease_.WriteRefused(aNow);
-  if (!cell.lease_.InDoubt()) {
+  if (!cell.lease_.HasUnresolvedWrite()) {
     cell.releasing_.clear();
   }
   for (const TableRow& row : outcome.rows_) {
@@ -1110,7 +1110,8 @@
   if (grant.has_value()) {
     renew.until_ = grant->until_;
   }
-  const bool certain = !aCell.lease_.InDoubt() && !aCell.lease_.IsWriting() &&
+  const bool certain = !aCell.lease_.HasUnresolvedWrite() &&
+                       !aCell.lease_.IsWriting() &&
                        aWorker.fencedEpoch_ == aCell.lease_.Row().epoch_;
   if (certain && aWorker.report_.has_value()) {
     for (const EndedTask& ended : aWorker.report_->ended_) {
--- a/Source/Process/WorkPages.cxx
+++ b/Source/Process/WorkPages.cxx
@@ -352,7 +352,7 @@
       const Result<JobRow> job = FromJson<JobRow>(row.value_);
       if (row.key_ == key && Succeeded(job)) {
         aQuery->tableStep_ =
-          StandingOf(std::get<JobRow>(job), aOver, aName.index_);
+          RecordedTaskStep(std::get<JobRow>(job), aOver, aName.index_);
       }
     }
   };
--- a/Source/Version/CellLease.cxx
+++ b/Source/Version/CellLease.cxx
@@ -56,9 +56,9 @@
 }
 
 bool
-CellLease::BeatDue(Instant aNow) const
+CellLease::RenewalDue(Instant aNow) const
 {
-  return aNow >= beatDueAt_ || InDoubt();
+  return aNow >= beatDueAt_ || HasUnresolvedWrite();
 }
 
 CellRow
@@ -135,7 +135,9 @@
 }
 
 void
-CellLease::WriteDoubtful(const CellRow& aRow, Instant aSentAt, Instant aNow)
+CellLease::WriteOutcomeUnknown(const CellRow& aRow,
+                               Instant aSentAt,
+                               Instant aNow)
 {
   BackOffWrites(aNow);
   if (IsMine(row_) && row_.beat_ == aRow.beat_) {
@@ -168,7 +170,7 @@
   }
   // Only a write of this incarnation makes it the owner. A row written by
   // another incarnation of the same name, or a restored row, does not.
-  owned_ = mine && (owned_ || InDoubt());
+  owned_ = mine && (owned_ || HasUnresolvedWrite());
   ReplaceRow(aRow, aRevision, aNow);
   return true;
 }
@@ -183,7 +185,7 @@
 }
 
 void
-CellLease::RestartWatch(Instant aNow)
+CellLease::RestartExpiryWait(Instant aNow)
 {
   if (!row_.owner_.empty()) {
     unchangedSince_ = aNow;
--- a/Source/Version/CellLease.h
+++ b/Source/Version/CellLease.h
@@ -54,10 +54,10 @@
 
   /** Whether a write has an unknown outcome: no answer was received and the
    * write may still apply. */
-  bool InDoubt() const { return !unresolvedWrites_.empty(); }
+  bool HasUnresolvedWrite() const { return !unresolvedWrites_.empty(); }
 
   /** Whether the row must be written to renew the lease. */
-  bool BeatDue(Instant aNow) const;
+  bool RenewalDue(Instant aNow) const;
 
   /** Returns the row with this entry as the owner; aTake raises the epoch. */
   CellRow Stamp(CellRow aRow, bool aTake);
@@ -73,7 +73,7 @@
   /** The write had no effect. */
   void WriteFailed(Instant aNow);
   /** The outcome of the write is unknown. */
-  void WriteDoubtful(const CellRow& aRow, Instant aSentAt, Instant aNow);
+  void WriteOutcomeUnknown(const CellRow& aRow, Instant aSentAt, Instant aNow);
 
   /** Processes the row as read, or as returned by a refused write (aCertain).
    * Returns true if the row replaced the known one. */
@@ -87,7 +87,7 @@
 
   /** Restarts the wait for the owner's lease to expire. Called after a table
    * outage, during which no entry could renew its lease. */
-  void RestartWatch(Instant aNow);
+  void RestartExpiryWait(Instant aNow);
 
   /** Gives up ownership because a worker reported a higher epoch, which proves
    * that another entry owns the cell. */
--- a/Source/Version/ConfigurationVersion.cxx
+++ b/Source/Version/ConfigurationVersion.cxx
@@ -107,7 +107,7 @@
                                      const std::string& aSource)
 {
   held_ = std::move(aRecord);
-  aActions.emplace_back(TakeConfiguration{
+  aActions.emplace_back(SetConfiguration{
     std::make_shared<const Configuration>(held_.configuration_), aSource });
 }
 
--- a/Source/Version/ConfigurationVersion.h
+++ b/Source/Version/ConfigurationVersion.h
@@ -50,7 +50,7 @@
 };
 
 /** Puts the configuration in force in this process. */
-struct TakeConfiguration
+struct SetConfiguration
 {
   std::shared_ptr<const Configuration> configuration_;
   /** "table", "peer" or "operator". */
@@ -76,7 +76,7 @@
 using ConfigurationAction = std::variant<ReadConfigurationRow,
                                          AskPeersForConfiguration,
                                          WriteConfigurationRow,
-                                         TakeConfiguration,
+                                         SetConfiguration,
                                          AnswerConfigurationChange,
                                          RaiseConfigurationAlarm>;
 
--- a/Source/Version/JobProgress.h
+++ b/Source/Version/JobProgress.h
@@ -29,7 +29,7 @@
 }
 
 /** Recorded progress of a task that has not completed successfully. */
-struct TaskNote
+struct TaskProgress
 {
   std::uint32_t index_ = 0;
   /** Numbers of the failed runs. Recording numbers rather than a count makes
@@ -46,14 +46,14 @@
 };
 
 /** Recorded progress of one step of one occurrence. */
-struct StepNote
+struct StepProgress
 {
   std::uint32_t occurrence_ = 0;
   std::uint32_t step_ = 0;
   bool allDone_ = false;
   /** Tasks that completed successfully; unused if allDone_ is set. */
   std::vector<std::uint32_t> done_;
-  std::vector<TaskNote> tasks_;
+  std::vector<TaskProgress> tasks_;
 
   template<class Archive>
   void serialize(Archive& ar)
@@ -74,7 +74,7 @@
   std::int64_t endedAtMs_ = 0;
   /** Occurrences before this one are done and have no entries in steps_. */
   std::uint32_t occurrencesDone_ = 0;
-  std::vector<StepNote> steps_;
+  std::vector<StepProgress> steps_;
 
   template<class Archive>
   void serialize(Archive& ar)
--- a/Source/Version/TaskStanding.cxx
+++ b/Source/Version/TaskStanding.cxx
@@ -41,7 +41,7 @@
 }
 
 std::optional<RequestStep>
-StandingOf(const JobRow& aJob, bool aOver, std::uint32_t aIndex)
+RecordedTaskStep(const JobRow& aJob, bool aOver, std::uint32_t aIndex)
 {
   if (aIndex >= aJob.spec_.tasks_) {
     return std::nullopt;
--- a/Source/Version/TaskStanding.h
+++ b/Source/Version/TaskStanding.h
@@ -26,6 +26,6 @@
  * not record whether the task has started. None if the task does not exist.
  */
 std::optional<RequestStep>
-StandingOf(const JobRow& aJob, bool aOver, std::uint32_t aIndex);
+RecordedTaskStep(const JobRow& aJob, bool aOver, std::uint32_t aIndex);
 
 }
--- a/Tests/Golden/ConfigurationSession.cxx
+++ b/Tests/Golden/ConfigurationSession.cxx
@@ -66,7 +66,7 @@
   void Perform(const std::string& aEntry,
                const AskPeersForConfiguration& aAction);
   void Perform(const std::string& aEntry, const WriteConfigurationRow& aAction);
-  void Perform(const std::string& aEntry, const TakeConfiguration& aAction);
+  void Perform(const std::string& aEntry, const SetConfiguration& aAction);
   void Perform(const std::string& aEntry,
                const AnswerConfigurationChange& aAction);
   void Perform(const std::string& aEntry,
@@ -196,7 +196,7 @@
 
 void
 ConfigurationSession::Private::Perform(const std::string& aEntry,
-                                       const TakeConfiguration& aAction)
+                                       const SetConfiguration& aAction)
 {
   Entry& entry = entries_.at(aEntry);
   const Configuration& taken = *aAction.configuration_;
--- a/Tests/Golden/WorkWorld.h
+++ b/Tests/Golden/WorkWorld.h
@@ -330,7 +330,7 @@
       }
       const auto job = Parse<cactusrail::JobRow>(row);
       for (std::uint32_t index = 0; index < job.spec_.tasks_; ++index) {
-        const auto step = cactusrail::StandingOf(job, over, index);
+        const auto step = cactusrail::RecordedTaskStep(job, over, index);
         const bool ran = history_[step->requestId_].starts_ > 0;
         ++recordedVerdicts_[step->verdict_];
         if (step->verdict_ ==
