--- a/Source/Process/Lane.cxx
+++ b/Source/Process/Lane.cxx
@@ -288,7 +288,7 @@
   }
   meter_.Begin(id, facts.tenant_, ClassOf(*service), now);
   aExchange.OnCallerHungUp(
-    [this, id] { Run(core_->OnCallerGone(id, ReadMonotonicClock())); });
+    [this, id] { Run(core_->OnCallerDisconnected(id, ReadMonotonicClock())); });
   Run(core_->OnRequest(facts, now));
 }
 
@@ -500,7 +500,7 @@
   Private* raw = private_.get();
   QMetaObject::invokeMethod(
     raw,
-    [raw] { raw->Run(raw->core_->OnStopBound(ReadMonotonicClock())); },
+    [raw] { raw->Run(raw->core_->OnStopTimeout(ReadMonotonicClock())); },
     Qt::QueuedConnection);
 }
 
--- a/Source/Process/SideProcess.cxx
+++ b/Source/Process/SideProcess.cxx
@@ -499,7 +499,7 @@
     stopTimedOut_ = true;
     hasUnfinishedAttempts_ = !core_.Idle();
     stopDeadline_ = now + kFinalAnswerTimeout;
-    Run(core_.OnStopBound(now));
+    Run(core_.OnStopTimeout(now));
     return;
   }
   if (finished || now >= stopDeadline_) {
--- a/Source/Request/EntryCore.cxx
+++ b/Source/Request/EntryCore.cxx
@@ -813,7 +813,7 @@
 }
 
 std::vector<EntryAction>
-EntryCore::OnCallerGone(const std::string& aRequestId, Instant aNow)
+EntryCore::OnCallerDisconnected(const std::string& aRequestId, Instant aNow)
 {
   std::vector<EntryAction> actions;
   if (private_->requests_.contains(aRequestId)) {
@@ -846,7 +846,7 @@
 }
 
 std::vector<EntryAction>
-EntryCore::OnStopBound(Instant aNow)
+EntryCore::OnStopTimeout(Instant aNow)
 {
   std::vector<EntryAction> actions;
   Private& self = *private_;
--- a/Source/Request/EntryCore.h
+++ b/Source/Request/EntryCore.h
@@ -131,15 +131,15 @@
                                       bool aNeverConnected,
                                       Instant aNow);
 
-  std::vector<EntryAction> OnCallerGone(const std::string& aRequestId,
-                                        Instant aNow);
+  std::vector<EntryAction> OnCallerDisconnected(const std::string& aRequestId,
+                                                Instant aNow);
 
   /** Sends the final answer to requests whose deadline passed. */
   std::vector<EntryAction> OnTick(Instant aNow);
 
   /** Sends the final answer to all requests when the timeout of a planned stop
    * expires. */
-  std::vector<EntryAction> OnStopBound(Instant aNow);
+  std::vector<EntryAction> OnStopTimeout(Instant aNow);
 
   /** Number of requests without a final answer. */
   std::size_t InProgress() const;
--- a/Source/Request/SideCore.cxx
+++ b/Source/Request/SideCore.cxx
@@ -545,7 +545,7 @@
 }
 
 std::vector<SideAction>
-SideCore::OnStopBound(Instant aNow)
+SideCore::OnStopTimeout(Instant aNow)
 {
   std::vector<SideAction> actions;
   Private& self = *private_;
--- a/Source/Request/SideCore.h
+++ b/Source/Request/SideCore.h
@@ -125,7 +125,7 @@
   std::vector<SideAction> OnStop(Instant aNow);
 
   /** Answers all remaining attempts when the timeout of the stop expires. */
-  std::vector<SideAction> OnStopBound(Instant aNow);
+  std::vector<SideAction> OnStopTimeout(Instant aNow);
 
   /** Removes expired attempts and announcements. */
   std::vector<SideAction> OnTick(Instant aNow);
--- a/Tests/Golden/VirtualCluster.cxx
+++ b/Tests/Golden/VirtualCluster.cxx
@@ -629,7 +629,7 @@
   const std::string id = found->second.requestId_;
   EntryNode* raw = &entry;
   Deliver(entry, [this, raw, id] {
-    RunEntry(*raw, raw->core_->OnCallerGone(id, now_));
+    RunEntry(*raw, raw->core_->OnCallerDisconnected(id, now_));
   });
 }
 
@@ -802,7 +802,7 @@
   if (!entry->frozen_) {
     RunEntry(*entry, entry->core_->OnTick(now_));
     if (entry->stopping_ && now_ >= entry->stopBound_) {
-      RunEntry(*entry, entry->core_->OnStopBound(now_));
+      RunEntry(*entry, entry->core_->OnStopTimeout(now_));
     }
     const bool idle =
       entry->core_->InProgress() == 0 && entry->core_->UnwrittenOutcomes() == 0;
@@ -834,7 +834,7 @@
     RunSide(*side, side->core_->OnTick(now_));
     const bool bound = side->stopping_ && now_ >= side->stopBound_;
     if (bound) {
-      RunSide(*side, side->core_->OnStopBound(now_));
+      RunSide(*side, side->core_->OnStopTimeout(now_));
     }
     const bool done =
       side->stopping_ && side->core_->Idle() && now_ >= side->stopEarliest_;
