--- a/Source/Connection/Codec.cxx
+++ b/Source/Connection/Codec.cxx
@@ -27,11 +27,11 @@
 bool
 ReportsUnknown(const Report& aReport)
 {
-  const auto isUnknownEnd = [](const EndFact& aEnd) {
+  const auto isUnknownEnd = [](const RunEndReport& aEnd) {
     return aEnd.kind_ > EndKind::Alone;
   };
-  const auto isUnknownRefusal = [](const RefusedRun& aRun) {
-    return aRun.why_ > StartRefusal::Expired;
+  const auto isUnknownRefusal = [](const RejectedRun& aRun) {
+    return aRun.why_ > StartRejection::Expired;
   };
   return std::any_of(
            aReport.ends_.begin(), aReport.ends_.end(), isUnknownEnd) ||
@@ -56,10 +56,10 @@
   if (const auto* change = std::get_if<FleetReportChange>(&aMessage)) {
     return ReportsUnknown(*change);
   }
-  if (const auto* ask = std::get_if<FleetAskMessage>(&aMessage)) {
-    return ask->question_ > FleetQuestion::StoreCancel;
+  if (const auto* ask = std::get_if<FleetRequestMessage>(&aMessage)) {
+    return ask->question_ > FleetRequestKind::StoreCancel;
   }
-  if (const auto* answer = std::get_if<FleetAnswerMessage>(&aMessage)) {
+  if (const auto* answer = std::get_if<FleetResponseMessage>(&aMessage)) {
     return answer->outcome_ > FleetOutcome::TakeOver;
   }
   return false;
--- a/Source/Connection/DatagramSeal.cxx
+++ b/Source/Connection/DatagramSeal.cxx
@@ -23,7 +23,7 @@
 }
 
 std::string
-SealDatagram(const WireMessage& aMessage, const KeyRing& aRing)
+EncodeDatagram(const WireMessage& aMessage, const KeyRing& aRing)
 {
   std::string frame = EncodeFrame(aMessage);
   if (!aRing.Empty()) {
@@ -33,7 +33,7 @@
 }
 
 Result<WireMessage>
-OpenDatagram(std::span<const char> aBytes, const KeyRing& aRing)
+DecodeDatagram(std::span<const char> aBytes, const KeyRing& aRing)
 {
   if (aRing.Empty()) {
     return DecodeFrame(aBytes);
@@ -60,16 +60,16 @@
 }
 
 std::string
-SealDatagram(const WireMessage& aMessage)
+EncodeDatagram(const WireMessage& aMessage)
 {
-  return SealDatagram(aMessage, *KeyHolder::OfProcess().Current());
+  return EncodeDatagram(aMessage, *KeyHolder::OfProcess().Current());
 }
 
 Result<WireMessage>
-OpenDatagram(std::span<const char> aBytes)
+DecodeDatagram(std::span<const char> aBytes)
 {
   Result<WireMessage> opened =
-    OpenDatagram(aBytes, *KeyHolder::OfProcess().Current());
+    DecodeDatagram(aBytes, *KeyHolder::OfProcess().Current());
   if (const auto* failure = std::get_if<Failure>(&opened)) {
     Metrics::OfProcess().Count(failure->kind_ == FailureKind::Refused
                                  ? Counter::UnauthenticDatagrams
--- a/Source/Connection/DatagramSeal.h
+++ b/Source/Connection/DatagramSeal.h
@@ -15,7 +15,7 @@
  * message's sequence and incarnation, which the tag covers.
  */
 std::string
-SealDatagram(const WireMessage& aMessage, const KeyRing& aRing);
+EncodeDatagram(const WireMessage& aMessage, const KeyRing& aRing);
 
 /**
  * Decodes the message of a datagram. Fails with Refused if no key of the ring
@@ -23,14 +23,14 @@
  * of the message is decoded before its tag has been verified.
  */
 Result<WireMessage>
-OpenDatagram(std::span<const char> aBytes, const KeyRing& aRing);
+DecodeDatagram(std::span<const char> aBytes, const KeyRing& aRing);
 
-/** SealDatagram() with the keys of this process. */
+/** EncodeDatagram() with the keys of this process. */
 std::string
-SealDatagram(const WireMessage& aMessage);
+EncodeDatagram(const WireMessage& aMessage);
 
-/** OpenDatagram() with the keys of this process; failures are counted. */
+/** DecodeDatagram() with the keys of this process; failures are counted. */
 Result<WireMessage>
-OpenDatagram(std::span<const char> aBytes);
+DecodeDatagram(std::span<const char> aBytes);
 
 }
--- a/Source/Connection/FleetMessages.h
+++ b/Source/Connection/FleetMessages.h
@@ -14,13 +14,13 @@
  */
 
 /** Capacity of a worker, or resources that tasks use. */
-struct FleetRoom
+struct FleetResources
 {
   std::int64_t cpuMilli_ = 0;
   std::int64_t memoryMb_ = 0;
   std::int64_t accelerators_ = 0;
 
-  bool operator==(const FleetRoom&) const = default;
+  bool operator==(const FleetResources&) const = default;
 
   template<class Archive>
   void serialize(Archive& ar)
@@ -38,7 +38,7 @@
   std::string dataCentre_;
   std::string rack_;
   std::vector<std::string> labels_;
-  FleetRoom room_;
+  FleetResources room_;
   /** Whether the worker is draining; no new task starts on it. */
   bool draining_ = false;
   /** Minimum remaining time of a draining worker. */
@@ -79,7 +79,7 @@
 };
 
 /** The end of a run; the worker lists it until it is acknowledged. */
-struct EndFact
+struct RunEndReport
 {
   /** Increases by one with each end in this incarnation of the worker. */
   std::uint64_t number_ = 0;
@@ -96,7 +96,7 @@
 };
 
 /** A run that is on a worker, or whose start is in flight. */
-struct RunFact
+struct RunStatus
 {
   std::string task_;
   std::uint32_t run_ = 0;
@@ -117,7 +117,7 @@
 };
 
 /** Reason why a worker refused a run. */
-enum class StartRefusal : std::uint8_t
+enum class StartRejection : std::uint8_t
 {
   /** This run, or a later one of the task, has already ended there. */
   Old = 0,
@@ -131,11 +131,11 @@
 };
 
 /** A run that was ordered and is known not to have started. */
-struct RefusedRun
+struct RejectedRun
 {
   std::string task_;
   std::uint32_t run_ = 0;
-  StartRefusal why_ = StartRefusal::Other;
+  StartRejection why_ = StartRejection::Other;
 
   template<class Archive>
   void serialize(Archive& ar)
@@ -154,10 +154,10 @@
   WorkerDescription worker_;
   /** Age of the progress figures of the runs. */
   std::uint64_t measuredMicrosAgo_ = 0;
-  std::vector<RunFact> runs_;
+  std::vector<RunStatus> runs_;
   /** Ends not yet reported on this link. */
-  std::vector<EndFact> ends_;
-  std::vector<RefusedRun> refused_;
+  std::vector<RunEndReport> ends_;
+  std::vector<RejectedRun> refused_;
 
   template<class Archive>
   void serialize(Archive& ar)
@@ -176,7 +176,7 @@
 struct NumberedRun
 {
   std::uint16_t number_ = 0;
-  RunFact fact_;
+  RunStatus fact_;
 
   template<class Archive>
   void serialize(Archive& ar)
@@ -185,8 +185,8 @@
   }
 };
 
-/** Changed figures of a run, identified by its number; see RunFact. */
-struct RunFigure
+/** Changed figures of a run, identified by its number; see RunStatus. */
+struct RunProgress
 {
   std::uint16_t number_ = 0;
   bool starting_ = false;
@@ -227,11 +227,11 @@
   /** One element if the description changed, otherwise empty. */
   std::vector<WorkerDescription> worker_;
   std::vector<NumberedRun> added_;
-  std::vector<RunFigure> figures_;
+  std::vector<RunProgress> figures_;
   std::vector<RunCheckpoint> checkpoints_;
   std::vector<std::uint16_t> removed_;
-  std::vector<EndFact> ends_;
-  std::vector<RefusedRun> refused_;
+  std::vector<RunEndReport> ends_;
+  std::vector<RejectedRun> refused_;
 
   template<class Archive>
   void serialize(Archive& ar)
@@ -294,7 +294,7 @@
 
 /**
  * Leading entry to side: orders, and the authority to renew the leases of the
- * side's runs until holdMicros_ after the echoed reading of the side's clock.
+ * side's runs until leaseMicros_ after the echoed reading of the side's clock.
  * The side accepts only orders of the highest epoch that it has received.
  */
 struct FleetOrders
@@ -303,10 +303,10 @@
   /** Increases by one with each message on this link. */
   std::uint64_t sequence_ = 0;
   std::uint64_t echoMicros_ = 0;
-  std::uint64_t holdMicros_ = 0;
+  std::uint64_t leaseMicros_ = 0;
   /** Time after the echoed clock reading until which the side uses
    * high-frequency reporting; 0 disables it. */
-  std::uint64_t watchMicros_ = 0;
+  std::uint64_t highFrequencyMicros_ = 0;
   /** Reading of the side's clock at which the starts expire; 0 without starts.
    */
   std::uint64_t startsUntilMicros_ = 0;
@@ -324,8 +324,8 @@
     ar(epoch_,
        sequence_,
        echoMicros_,
-       holdMicros_,
-       watchMicros_,
+       leaseMicros_,
+       highFrequencyMicros_,
        startsUntilMicros_,
        workerId_,
        endsStored_,
@@ -336,7 +336,7 @@
 };
 
 /** Requests of an entry to the leading entry. */
-enum class FleetQuestion : std::uint8_t
+enum class FleetRequestKind : std::uint8_t
 {
   /** Notification of a job that is already stored. */
   JobStored = 0,
@@ -353,10 +353,10 @@
   StoreCancel = 5,
 };
 
-struct FleetAskMessage
+struct FleetRequestMessage
 {
   std::uint64_t id_ = 0;
-  FleetQuestion question_ = FleetQuestion::State;
+  FleetRequestKind question_ = FleetRequestKind::State;
   /** Id of a job, or key of a queue. */
   std::string subject_;
   /** Job encoded by RecordCodec, if the request stores or announces one. */
@@ -386,7 +386,7 @@
   TakeOver = 5,
 };
 
-struct FleetAnswerMessage
+struct FleetResponseMessage
 {
   std::uint64_t id_ = 0;
   FleetOutcome outcome_ = FleetOutcome::Ok;
@@ -421,7 +421,7 @@
 {
   std::string node_;
   /** Whether the opener is the leading entry, which sends orders. */
-  bool leads_ = false;
+  bool isLeader_ = false;
   std::uint64_t epoch_ = 0;
   /** Processor capacity of an entry's host, in thousandths of a processor. */
   std::uint32_t milliProcessors_ = 0;
@@ -429,7 +429,7 @@
   template<class Archive>
   void serialize(Archive& ar)
   {
-    ar(node_, leads_, epoch_, milliProcessors_);
+    ar(node_, isLeader_, epoch_, milliProcessors_);
   }
 };
 
--- a/Source/Connection/GuardedSocket.cxx
+++ b/Source/Connection/GuardedSocket.cxx
@@ -168,8 +168,8 @@
 {
   if (busy_) {
     callerDisconnected_ = true;
-    ++counts_->callersGone_;
-    Q_EMIT owner_->CallerHungUp();
+    ++counts_->callersDisconnected_;
+    Q_EMIT owner_->CallerDisconnected();
     return;
   }
   EndConnection();
@@ -214,7 +214,7 @@
     socket_.abort();
     return;
   }
-  ++counts_->tooSlow_;
+  ++counts_->timedOutRequests_;
   Refuse("408 Request Timeout",
          "The request did not arrive completely within the time limit.");
 }
--- a/Source/Connection/GuardedSocket.h
+++ b/Source/Connection/GuardedSocket.h
@@ -26,8 +26,8 @@
   std::uint64_t headTooLarge_ = 0;
   std::uint64_t bodyTooLarge_ = 0;
   std::uint64_t malformed_ = 0;
-  std::uint64_t tooSlow_ = 0;
-  std::uint64_t callersGone_ = 0;
+  std::uint64_t timedOutRequests_ = 0;
+  std::uint64_t callersDisconnected_ = 0;
 };
 
 /**
@@ -89,7 +89,7 @@
 
 Q_SIGNALS:
   /** Emitted when the caller disconnects while its request is handled. */
-  void CallerHungUp();
+  void CallerDisconnected();
 
 protected:
   // NOLINTBEGIN(readability-identifier-naming)
--- a/Source/Connection/HttpFront.cxx
+++ b/Source/Connection/HttpFront.cxx
@@ -299,14 +299,14 @@
 }
 
 void
-HttpExchange::OnCallerHungUp(std::function<void()> aCallback) const
+HttpExchange::OnDisconnected(std::function<void()> aCallback) const
 {
   if (private_->socket_.isNull()) {
     aCallback();
     return;
   }
   QObject::connect(private_->socket_,
-                   &GuardedSocket::CallerHungUp,
+                   &GuardedSocket::CallerDisconnected,
                    private_->socket_,
                    std::move(aCallback),
                    Qt::SingleShotConnection);
--- a/Source/Connection/HttpFront.h
+++ b/Source/Connection/HttpFront.h
@@ -51,7 +51,7 @@
   void Answer(const HttpAnswer& aAnswer) const;
 
   /** Sets the callback for a caller that disconnects before its response. */
-  void OnCallerHungUp(std::function<void()> aCallback) const;
+  void OnDisconnected(std::function<void()> aCallback) const;
 
 private:
   std::shared_ptr<Private> private_;
--- a/Source/Connection/ReportDecoder.cxx
+++ b/Source/Connection/ReportDecoder.cxx
@@ -12,7 +12,7 @@
   worker_ = aReport.worker_;
   runs_.clear();
   std::uint16_t number = 0;
-  for (const RunFact& fact : aReport.runs_) {
+  for (const RunStatus& fact : aReport.runs_) {
     runs_[number++] = fact;
   }
   return aReport;
@@ -26,7 +26,7 @@
       return false;
     }
   }
-  for (const RunFigure& figure : aChange.figures_) {
+  for (const RunProgress& figure : aChange.figures_) {
     const auto found = runs_.find(figure.number_);
     if (found == runs_.end()) {
       return false;
--- a/Source/Connection/ReportDecoder.h
+++ b/Source/Connection/ReportDecoder.h
@@ -31,7 +31,7 @@
   bool hasBaseline_ = false;
   std::uint32_t sequence_ = 0;
   WorkerDescription worker_;
-  std::map<std::uint16_t, RunFact> runs_;
+  std::map<std::uint16_t, RunStatus> runs_;
 };
 
 }
--- a/Source/Connection/ReportEncoder.cxx
+++ b/Source/Connection/ReportEncoder.cxx
@@ -11,7 +11,7 @@
   std::numeric_limits<std::uint16_t>::max();
 
 std::uint8_t
-Percent(const RunFact& aFact)
+Percent(const RunStatus& aFact)
 {
   return static_cast<std::uint8_t>(std::min<std::uint32_t>(
     aFact.percent_, std::numeric_limits<std::uint8_t>::max()));
@@ -39,7 +39,7 @@
   nextNumber_ = 0;
   worker_ = aReport.worker_;
   known_.clear();
-  for (const RunFact& fact : aReport.runs_) {
+  for (const RunStatus& fact : aReport.runs_) {
     known_[{ fact.task_, fact.run_ }] = {
       static_cast<std::uint16_t>(nextNumber_), false, fact
     };
@@ -49,7 +49,7 @@
 }
 
 void
-ReportEncoder::EncodeRun(RunFact aFact, FleetReportChange& aChange)
+ReportEncoder::EncodeRun(RunStatus aFact, FleetReportChange& aChange)
 {
   const auto [entry, isNew] =
     known_.try_emplace(RunKey(aFact.task_, aFact.run_));
@@ -102,7 +102,7 @@
     worker_ = aReport.worker_;
     change.worker_.push_back(worker_);
   }
-  for (RunFact& fact : aReport.runs_) {
+  for (RunStatus& fact : aReport.runs_) {
     EncodeRun(std::move(fact), change);
   }
   EncodeRemovedRuns(change);
--- a/Source/Connection/ReportEncoder.h
+++ b/Source/Connection/ReportEncoder.h
@@ -33,11 +33,11 @@
     std::uint16_t number_ = 0;
     /** Whether the last report listed the run. */
     bool listed_ = false;
-    RunFact fact_;
+    RunStatus fact_;
   };
 
   WireMessage EncodeFullReport(FleetReport aReport);
-  void EncodeRun(RunFact aFact, FleetReportChange& aChange);
+  void EncodeRun(RunStatus aFact, FleetReportChange& aChange);
   void EncodeRemovedRuns(FleetReportChange& aChange);
   /** Whether unused numbers remain for every run that may be new. */
   bool HasRunNumbersFor(const FleetReport& aReport) const;
--- a/Source/Connection/RowStore.h
+++ b/Source/Connection/RowStore.h
@@ -111,7 +111,7 @@
   /** Version from which to continue. */
   std::uint64_t version_ = 0;
   /** The change history is no longer available; the table must be re-read. */
-  bool historyGone_ = false;
+  bool historyExpired_ = false;
 };
 
 using CommitCallback = std::function<void(const Commit&)>;
--- a/Source/Connection/WireMessages.h
+++ b/Source/Connection/WireMessages.h
@@ -194,7 +194,7 @@
 };
 
 /** Entry to side: queries the recorded steps of a request. */
-struct RecallMessage
+struct HistoryRequestMessage
 {
   std::string question_;
   std::string requestId_;
@@ -208,7 +208,7 @@
 
 /** Side to entry: the recorded steps of a request, as JSON lines of
  * RequestStep. */
-struct RecollectionMessage
+struct HistoryResponseMessage
 {
   std::string question_;
   std::vector<std::string> steps_;
@@ -256,15 +256,15 @@
                                  HeartbeatAckMessage,
                                  ConfigRequestMessage,
                                  ConfigMessage,
-                                 RecallMessage,
-                                 RecollectionMessage,
+                                 HistoryRequestMessage,
+                                 HistoryResponseMessage,
                                  LinkHelloMessage,
                                  LinkProofMessage,
                                  FleetHelloMessage,
                                  FleetReport,
                                  FleetOrders,
-                                 FleetAskMessage,
-                                 FleetAnswerMessage,
+                                 FleetRequestMessage,
+                                 FleetResponseMessage,
                                  FleetConfigurationMessage,
                                  FleetReportChange>;
 
--- a/Source/Process/Explainer.cxx
+++ b/Source/Process/Explainer.cxx
@@ -271,7 +271,7 @@
 {
   ++aQuery->open_;
   auto* link = new SideLink(aSide.address_, aSide.port_, this);
-  RecallMessage recall;
+  HistoryRequestMessage recall;
   recall.requestId_ = aQuery->id_;
   link->Send(recall);
   auto* timer = new QTimer(link);
@@ -288,7 +288,7 @@
           &SideLink::Received,
           this,
           [aQuery, finish](const WireMessage& aMessage) {
-            const auto* memory = std::get_if<RecollectionMessage>(&aMessage);
+            const auto* memory = std::get_if<HistoryResponseMessage>(&aMessage);
             if (memory == nullptr) {
               return;
             }
--- a/Source/Process/FleetEntry.h
+++ b/Source/Process/FleetEntry.h
@@ -289,7 +289,8 @@
             &SideLink::Received,
             this,
             [this, aLink](const WireMessage& aMessage) {
-              if (const auto* ask = std::get_if<FleetAskMessage>(&aMessage)) {
+              if (const auto* ask =
+                    std::get_if<FleetRequestMessage>(&aMessage)) {
                 OnAsk(aLink, *ask);
               } else if (const auto* hello =
                            std::get_if<FleetHelloMessage>(&aMessage)) {
@@ -325,18 +326,18 @@
     aLink->Send(Outcome(FleetOutcome::TakeOver, lease_.Lease().RowVersion()));
   }
 
-  void OnAsk(SideLink* aLink, const FleetAskMessage& aAsk)
+  void OnAsk(SideLink* aLink, const FleetRequestMessage& aAsk)
   {
     const QPointer<SideLink> link(aLink);
     const std::uint64_t id = aAsk.id_;
-    const bool reachesTable = aAsk.question_ == FleetQuestion::JobStored ||
-                              aAsk.question_ == FleetQuestion::CancelStored;
+    const bool reachesTable = aAsk.question_ == FleetRequestKind::JobStored ||
+                              aAsk.question_ == FleetRequestKind::CancelStored;
     if (reachesTable && leadership_ != nullptr && TableIsUnresponsive()) {
       YieldTo(aLink,
               "the requesting entry has written to the table, which is "
               "unresponsive to this leader");
     }
-    AnswerAsk(aAsk, [link, id](FleetAnswerMessage aAnswer) {
+    AnswerAsk(aAsk, [link, id](FleetResponseMessage aAnswer) {
       if (id != 0 && !link.isNull()) {
         aAnswer.id_ = id;
         link->Send(aAnswer);
@@ -344,43 +345,43 @@
     });
   }
 
-  static FleetAnswerMessage Outcome(FleetOutcome aOutcome,
-                                    std::uint64_t aValue = 0)
+  static FleetResponseMessage Outcome(FleetOutcome aOutcome,
+                                      std::uint64_t aValue = 0)
   {
     return { 0, aOutcome, aValue };
   }
 
   /** Answers a request to the leader from another entry or from this one. */
-  void AnswerAsk(const FleetAskMessage& aAsk,
-                 const std::function<void(FleetAnswerMessage)>& aAnswer)
+  void AnswerAsk(const FleetRequestMessage& aAsk,
+                 const std::function<void(FleetResponseMessage)>& aAnswer)
   {
     switch (aAsk.question_) {
-      case FleetQuestion::JobStored:
+      case FleetRequestKind::JobStored:
         aAnswer(HandleJobStored(aAsk));
         return;
-      case FleetQuestion::CancelStored:
+      case FleetRequestKind::CancelStored:
         if (leadership_ != nullptr) {
           leadership_->OnCancelStored(aAsk.subject_);
         }
         aAnswer(Outcome(FleetOutcome::Ok));
         return;
-      case FleetQuestion::State:
+      case FleetRequestKind::State:
         aAnswer(StateAnswer(aAsk.subject_));
         return;
-      case FleetQuestion::Waiting:
+      case FleetRequestKind::Waiting:
         aAnswer(IsLeading()
                   ? Outcome(FleetOutcome::Ok,
                             leadership_->Scheduler().Waiting(aAsk.subject_))
                   : Outcome(FleetOutcome::NotLeading));
         return;
-      case FleetQuestion::StoreJob:
-      case FleetQuestion::StoreCancel:
+      case FleetRequestKind::StoreJob:
+      case FleetRequestKind::StoreCancel:
         StoreForPeer(aAsk, aAnswer);
         return;
     }
   }
 
-  FleetAnswerMessage HandleJobStored(const FleetAskMessage& aAsk)
+  FleetResponseMessage HandleJobStored(const FleetRequestMessage& aAsk)
   {
     const Result<JobDescription> spec =
       DecodeRecord<JobDescription>(aAsk.record_);
@@ -391,7 +392,7 @@
     return Outcome(FleetOutcome::Ok);
   }
 
-  FleetAnswerMessage StateAnswer(const std::string& aJob)
+  FleetResponseMessage StateAnswer(const std::string& aJob)
   {
     if (!IsLeading()) {
       return Outcome(FleetOutcome::NotLeading);
@@ -403,24 +404,24 @@
              : Outcome(FleetOutcome::Unknown);
   }
 
-  void StoreForPeer(const FleetAskMessage& aAsk,
-                    const std::function<void(FleetAnswerMessage)>& aAnswer)
+  void StoreForPeer(const FleetRequestMessage& aAsk,
+                    const std::function<void(FleetResponseMessage)>& aAnswer)
   {
     const Instant deadline = ReadMonotonicClock() + kPeerStoreTimeout;
     const auto answer = [this, aAsk, aAnswer](IntakeOutcome aOutcome) {
       if (aOutcome == IntakeOutcome::Stored) {
-        FleetAskMessage notification = aAsk;
-        notification.question_ = aAsk.question_ == FleetQuestion::StoreJob
-                                   ? FleetQuestion::JobStored
-                                   : FleetQuestion::CancelStored;
-        AnswerAsk(notification, [](const FleetAnswerMessage&) {});
+        FleetRequestMessage notification = aAsk;
+        notification.question_ = aAsk.question_ == FleetRequestKind::StoreJob
+                                   ? FleetRequestKind::JobStored
+                                   : FleetRequestKind::CancelStored;
+        AnswerAsk(notification, [](const FleetResponseMessage&) {});
       }
       aAnswer(Outcome(aOutcome == IntakeOutcome::Stored ? FleetOutcome::Ok
                       : aOutcome == IntakeOutcome::NotStored
                         ? FleetOutcome::NotStored
                         : FleetOutcome::InDoubt));
     };
-    if (aAsk.question_ == FleetQuestion::StoreCancel) {
+    if (aAsk.question_ == FleetRequestKind::StoreCancel) {
       intake_.StoreCancel(aAsk.subject_, deadline, answer);
       return;
     }
@@ -435,18 +436,18 @@
   }
 
   /** Sends a request to the leader, which may be this entry. */
-  void AskLeader(FleetQuestion aQuestion,
+  void AskLeader(FleetRequestKind aQuestion,
                  const std::string& aSubject,
                  std::string aRecord,
                  Millis aTimeout,
                  LeaderLink::Callback aCallback)
   {
-    FleetAskMessage ask;
+    FleetRequestMessage ask;
     ask.question_ = aQuestion;
     ask.subject_ = aSubject;
     ask.record_ = std::move(aRecord);
     if (leadership_ != nullptr) {
-      AnswerAsk(ask, [aCallback](const FleetAnswerMessage& aAnswer) {
+      AnswerAsk(ask, [aCallback](const FleetResponseMessage& aAnswer) {
         aCallback(aAnswer);
       });
       return;
@@ -454,16 +455,16 @@
     leaderLink_.Ask(std::move(ask), aTimeout, std::move(aCallback));
   }
 
-  void NotifyLeader(FleetQuestion aQuestion,
+  void NotifyLeader(FleetRequestKind aQuestion,
                     const std::string& aSubject,
                     std::string aRecord)
   {
-    FleetAskMessage ask;
+    FleetRequestMessage ask;
     ask.question_ = aQuestion;
     ask.subject_ = aSubject;
     ask.record_ = std::move(aRecord);
     if (leadership_ != nullptr) {
-      AnswerAsk(ask, [](const FleetAnswerMessage&) {});
+      AnswerAsk(ask, [](const FleetResponseMessage&) {});
       return;
     }
     leaderLink_.Notify(std::move(ask));
@@ -590,7 +591,7 @@
   {
     const JobDescription spec = aCall.spec_;
     const auto viaLeader = [this, spec, aDeadline, aAnswer] {
-      StoreViaLeader(FleetQuestion::StoreJob,
+      StoreViaLeader(FleetRequestKind::StoreJob,
                      spec.id_,
                      EncodeRecord(spec),
                      aDeadline,
@@ -616,7 +617,8 @@
       aDeadline - kAnswerMargin,
       [this, spec, aAnswer, viaLeader](IntakeOutcome aOutcome) {
         if (aOutcome == IntakeOutcome::Stored) {
-          NotifyLeader(FleetQuestion::JobStored, spec.id_, EncodeRecord(spec));
+          NotifyLeader(
+            FleetRequestKind::JobStored, spec.id_, EncodeRecord(spec));
           aAnswer(ReplyOf(CallerOutcome::Stored));
         } else if (aOutcome == IntakeOutcome::InDoubt) {
           aAnswer(ReplyOf(CallerOutcome::InDoubt,
@@ -631,7 +633,7 @@
       });
   }
 
-  void StoreViaLeader(FleetQuestion aQuestion,
+  void StoreViaLeader(FleetRequestKind aQuestion,
                       const std::string& aJob,
                       std::string aRecord,
                       Instant aDeadline,
@@ -647,7 +649,7 @@
       std::move(aRecord),
       std::clamp(left, kAskTimeout, kStoreTimeout),
       [this, aQuestion, aJob, record, aDeadline, aAnswer](
-        const std::optional<FleetAnswerMessage>& aReply) {
+        const std::optional<FleetResponseMessage>& aReply) {
         if (!aReply.has_value() || aReply->outcome_ == FleetOutcome::InDoubt) {
           // The outcome is unknown; repeating the write resolves it.
           RetryUnknownStore(aQuestion, aJob, record, aDeadline, aAnswer);
@@ -662,7 +664,7 @@
 
   /** Repeats a write that may already be stored. Never answers that it is not
    * stored. */
-  void RetryUnknownStore(FleetQuestion aQuestion,
+  void RetryUnknownStore(FleetRequestKind aQuestion,
                          const std::string& aJob,
                          const std::string& aRecord,
                          Instant aDeadline,
@@ -671,9 +673,9 @@
     const auto done = [this, aQuestion, aJob, aRecord, aDeadline, aAnswer](
                         IntakeOutcome aOutcome) {
       if (aOutcome == IntakeOutcome::Stored) {
-        NotifyLeader(aQuestion == FleetQuestion::StoreJob
-                       ? FleetQuestion::JobStored
-                       : FleetQuestion::CancelStored,
+        NotifyLeader(aQuestion == FleetRequestKind::StoreJob
+                       ? FleetRequestKind::JobStored
+                       : FleetRequestKind::CancelStored,
                      aJob,
                      aRecord);
         aAnswer(ReplyOf(CallerOutcome::Stored));
@@ -695,7 +697,7 @@
         "The table service did not answer in time; query the job's state."));
     };
     const Result<JobDescription> spec = DecodeRecord<JobDescription>(aRecord);
-    if (aQuestion == FleetQuestion::StoreCancel) {
+    if (aQuestion == FleetRequestKind::StoreCancel) {
       intake_.StoreCancel(aJob, aDeadline - kAnswerMargin, done);
     } else if (const auto* job = std::get_if<JobDescription>(&spec)) {
       intake_.StoreJob(*job, aDeadline - kAnswerMargin, done);
@@ -706,11 +708,11 @@
   {
     const std::string job = aCall.job_;
     AskLeader(
-      FleetQuestion::State,
+      FleetRequestKind::State,
       job,
       {},
       kAskTimeout,
-      [this, job, aAnswer](const std::optional<FleetAnswerMessage>& aReply) {
+      [this, job, aAnswer](const std::optional<FleetResponseMessage>& aReply) {
         if (aReply.has_value() && aReply->outcome_ == FleetOutcome::Ok) {
           aAnswer(ReplyState(static_cast<JobState>(aReply->value_)));
           return;
@@ -722,12 +724,12 @@
   void Serve(const CancelJob& aCall, Instant aDeadline, const Answer& aAnswer)
   {
     const std::string job = aCall.job_;
-    AskLeader(FleetQuestion::State,
+    AskLeader(FleetRequestKind::State,
               job,
               {},
               kAskTimeout,
               [this, job, aDeadline, aAnswer](
-                const std::optional<FleetAnswerMessage>& aReply) {
+                const std::optional<FleetResponseMessage>& aReply) {
                 const bool known =
                   aReply.has_value() && aReply->outcome_ == FleetOutcome::Ok;
                 if (known && IsFinal(static_cast<JobState>(aReply->value_))) {
@@ -765,7 +767,7 @@
       aDeadline - kAnswerMargin,
       [this, aJob, aDeadline, aAnswer](IntakeOutcome aOutcome) {
         if (aOutcome == IntakeOutcome::Stored) {
-          NotifyLeader(FleetQuestion::CancelStored, aJob, {});
+          NotifyLeader(FleetRequestKind::CancelStored, aJob, {});
           aAnswer(ReplyOf(CallerOutcome::Stored));
         } else if (aOutcome == IntakeOutcome::InDoubt) {
           aAnswer(ReplyOf(CallerOutcome::InDoubt,
@@ -773,7 +775,7 @@
                           "job's state."));
         } else if (leadership_ == nullptr && leaderLink_.Usable()) {
           StoreViaLeader(
-            FleetQuestion::StoreCancel, aJob, {}, aDeadline, aAnswer);
+            FleetRequestKind::StoreCancel, aJob, {}, aDeadline, aAnswer);
         } else {
           aAnswer(ReplyTryLater(
             "The table service accepts no writes now; retry later."));
@@ -783,11 +785,11 @@
 
   void Serve(const AskWaiting& aCall, Instant, const Answer& aAnswer)
   {
-    AskLeader(FleetQuestion::Waiting,
+    AskLeader(FleetRequestKind::Waiting,
               aCall.queue_,
               {},
               kAskTimeout,
-              [aAnswer](const std::optional<FleetAnswerMessage>& aReply) {
+              [aAnswer](const std::optional<FleetResponseMessage>& aReply) {
                 if (!aReply.has_value() ||
                     aReply->outcome_ != FleetOutcome::Ok) {
                   aAnswer(ReplyTryLater(
--- a/Source/Process/FleetScheduler.h
+++ b/Source/Process/FleetScheduler.h
@@ -232,30 +232,30 @@
   void OnNewIncarnation(FleetWorker& aWorker,
                         const FleetReport& aReport,
                         Instant aNow);
-  void HandleEnd(FleetWorker& aWorker, const EndFact& aEnd, Instant aNow);
+  void HandleEnd(FleetWorker& aWorker, const RunEndReport& aEnd, Instant aNow);
   bool ApplyEnd(FleetWorker& aWorker,
-                const EndFact& aEnd,
+                const RunEndReport& aEnd,
                 const TaskKey& aName,
                 TaskLocation& aPlace,
                 Instant aNow);
   void OnRunDone(FleetWorker& aWorker,
-                 const EndFact& aEnd,
+                 const RunEndReport& aEnd,
                  TaskLocation& aPlace,
                  const TaskKey& aName,
                  Instant aNow);
   void OnRunFailed(FleetWorker& aWorker,
-                   const EndFact& aEnd,
+                   const RunEndReport& aEnd,
                    TaskLocation& aPlace,
                    const TaskKey& aName,
                    Instant aNow);
   void OnGangDone(TaskLocation& aPlace, std::uint32_t aRun, Instant aNow);
   void HandleRefusal(FleetWorker& aWorker,
-                     const RefusedRun& aRefused,
+                     const RejectedRun& aRefused,
                      Instant aNow);
   void Reconcile(FleetWorker& aWorker,
                  const FleetReport& aReport,
                  Instant aNow);
-  void HandleRun(FleetWorker& aWorker, const RunFact& aFact, Instant aNow);
+  void HandleRun(FleetWorker& aWorker, const RunStatus& aFact, Instant aNow);
   void DropRun(FleetWorker& aWorker,
                const std::string& aTask,
                std::uint32_t aRun,
@@ -361,7 +361,7 @@
    */
   void PreemptFor(const FleetJob& aJob, const FleetStep& aStep, Instant aNow);
   PreemptionPlan PlanPreemption(FleetWorker& aWorker,
-                                const FleetRoom& aWanted,
+                                const FleetResources& aWanted,
                                 std::int64_t aPriority);
   /** Returns the preemptible runs, those that lose the least work first. */
   std::vector<PreemptibleRun> Preemptible(FleetWorker& aWorker,
--- a/Source/Process/FleetSchedulerLasting.cxx
+++ b/Source/Process/FleetSchedulerLasting.cxx
@@ -50,10 +50,10 @@
 constexpr Millis kRunOverhead{ 150 };
 
 bool
-LeavesCapacityFor(const FleetWorker& aWorker, const FleetRoom& aRoom)
+LeavesCapacityFor(const FleetWorker& aWorker, const FleetResources& aRoom)
 {
-  const FleetRoom& all = aWorker.facts_.room_;
-  const FleetRoom& longRunning = aWorker.longRunningUsed_;
+  const FleetResources& all = aWorker.facts_.room_;
+  const FleetResources& longRunning = aWorker.longRunningUsed_;
   const auto leavesEnough =
     [](std::int64_t aAll, std::int64_t aLongRunning, std::int64_t aWanted) {
       return aAll - aLongRunning >= kMinCapacityFactor * aWanted;
@@ -237,7 +237,7 @@
                              const FleetStep& aStep,
                              Instant aNow) const
 {
-  const FleetRoom wanted = FixedResourcesOf(*aStep.spec_);
+  const FleetResources wanted = FixedResourcesOf(*aStep.spec_);
   ChoiceFacts facts;
   facts.step_ = aStep.spec_;
   facts.service_ = aEntry.job_->Spec().service_;
@@ -253,7 +253,7 @@
     ++eligible;
     cordoned += option.cordoned_ ? 1 : 0;
     reservable += LeavesCapacityFor(*option.worker_, wanted) ? 1 : 0;
-    const FleetRoom free = option.worker_->Free();
+    const FleetResources free = option.worker_->Free();
     if (free.memoryMb_ >= wanted.memoryMb_) {
       mostFree = std::max(mostFree, free.cpuMilli_);
     }
@@ -321,7 +321,7 @@
   if (kept.empty() && reservations_.Count(aNow) >= limit) {
     return;
   }
-  const FleetRoom wanted = FixedResourcesOf(*aStep.spec_);
+  const FleetResources wanted = FixedResourcesOf(*aStep.spec_);
   ChoiceFacts facts;
   facts.step_ = aStep.spec_;
   facts.service_ = aEntry.job_->Spec().service_;
--- a/Source/Process/FleetSchedulerPlacement.cxx
+++ b/Source/Process/FleetSchedulerPlacement.cxx
@@ -95,9 +95,9 @@
       orders.orders_.startsUntilMicros_ =
         worker.echoMicros_ + static_cast<std::uint64_t>(remaining.count());
     }
-    orders.orders_.holdMicros_ = static_cast<std::uint64_t>(
+    orders.orders_.leaseMicros_ = static_cast<std::uint64_t>(
       std::chrono::duration_cast<Micros>(kAuthority).count());
-    orders.orders_.watchMicros_ =
+    orders.orders_.highFrequencyMicros_ =
       worker.highFrequency_
         ? static_cast<std::uint64_t>(Micros(kWatchValidity).count())
         : 0;
--- a/Source/Process/FleetSchedulerPreemption.cxx
+++ b/Source/Process/FleetSchedulerPreemption.cxx
@@ -9,8 +9,8 @@
 
 namespace {
 
-FleetRoom
-Sum(const FleetRoom& aLeft, const FleetRoom& aRight)
+FleetResources
+Sum(const FleetResources& aLeft, const FleetResources& aRight)
 {
   return { aLeft.cpuMilli_ + aRight.cpuMilli_,
            aLeft.memoryMb_ + aRight.memoryMb_,
@@ -18,7 +18,7 @@
 }
 
 bool
-Covers(const FleetRoom& aRoom, const FleetRoom& aWanted)
+Covers(const FleetResources& aRoom, const FleetResources& aWanted)
 {
   return aRoom.cpuMilli_ >= aWanted.cpuMilli_ &&
          aRoom.memoryMb_ >= aWanted.memoryMb_ &&
@@ -55,11 +55,11 @@
 
 FleetScheduler::PreemptionPlan
 FleetScheduler::PlanPreemption(FleetWorker& aWorker,
-                               const FleetRoom& aWanted,
+                               const FleetResources& aWanted,
                                std::int64_t aPriority)
 {
   PreemptionPlan plan;
-  FleetRoom room = aWorker.Free();
+  FleetResources room = aWorker.Free();
   const auto runs = Preemptible(aWorker, aPriority);
   const auto roomOf = [&aWorker](const PreemptibleRun& aRun) {
     return aWorker.held_.at({ aRun.task_, aRun.run_->run_ }).room_;
@@ -91,7 +91,7 @@
   if (aStep.spec_->backfill_) {
     return;
   }
-  const FleetRoom wanted = FixedResourcesOf(*aStep.spec_);
+  const FleetResources wanted = FixedResourcesOf(*aStep.spec_);
   ChoiceFacts facts;
   facts.step_ = aStep.spec_;
   facts.service_ = aJob.Spec().service_;
--- a/Source/Process/FleetSchedulerReports.cxx
+++ b/Source/Process/FleetSchedulerReports.cxx
@@ -27,18 +27,18 @@
 
 /** Returns the reason for the log why an ordered run did not start. */
 std::string_view
-TextOf(StartRefusal aWhy)
+TextOf(StartRejection aWhy)
 {
   switch (aWhy) {
-    case StartRefusal::Old:
+    case StartRejection::Old:
       return "refused: this run or a later one has already ended there";
-    case StartRefusal::NoRoom:
+    case StartRejection::NoRoom:
       return "refused: its worker has no room";
-    case StartRefusal::Ticket:
+    case StartRejection::Ticket:
       return "refused: its ticket is not valid on that worker";
-    case StartRefusal::Other:
+    case StartRejection::Other:
       return "refused by its worker";
-    case StartRefusal::Expired:
+    case StartRejection::Expired:
       return "returned: its worker did not accept it in time";
   }
   return "refused";
@@ -131,10 +131,10 @@
   worker.synced_ = true;
   worker.mayRunOldWork_ = false;
   worker.left_ = aReport.worker_.id_.empty() && aReport.runs_.empty();
-  for (const EndFact& end : aReport.ends_) {
+  for (const RunEndReport& end : aReport.ends_) {
     HandleEnd(worker, end, aNow);
   }
-  for (const RefusedRun& refused : aReport.refused_) {
+  for (const RejectedRun& refused : aReport.refused_) {
     HandleRefusal(worker, refused, aNow);
   }
   Reconcile(worker, aReport, aNow);
@@ -199,7 +199,7 @@
 
 void
 FleetScheduler::HandleEnd(FleetWorker& aWorker,
-                          const EndFact& aEnd,
+                          const RunEndReport& aEnd,
                           Instant aNow)
 {
   if (aEnd.number_ <= aWorker.endsSeen_) {
@@ -228,7 +228,7 @@
 
 bool
 FleetScheduler::ApplyEnd(FleetWorker& aWorker,
-                         const EndFact& aEnd,
+                         const RunEndReport& aEnd,
                          const TaskKey& aName,
                          TaskLocation& aPlace,
                          Instant aNow)
@@ -273,7 +273,7 @@
 
 void
 FleetScheduler::OnRunDone(FleetWorker& aWorker,
-                          const EndFact& aEnd,
+                          const RunEndReport& aEnd,
                           TaskLocation& aPlace,
                           const TaskKey& aName,
                           Instant aNow)
@@ -312,7 +312,7 @@
 
 void
 FleetScheduler::OnRunFailed(FleetWorker& aWorker,
-                            const EndFact& aEnd,
+                            const RunEndReport& aEnd,
                             TaskLocation& aPlace,
                             const TaskKey& aName,
                             Instant aNow)
@@ -395,11 +395,11 @@
 
 void
 FleetScheduler::HandleRefusal(FleetWorker& aWorker,
-                              const RefusedRun& aRefused,
+                              const RejectedRun& aRefused,
                               Instant aNow)
 {
-  if (aRefused.why_ == StartRefusal::NoRoom ||
-      aRefused.why_ == StartRefusal::Other) {
+  if (aRefused.why_ == StartRejection::NoRoom ||
+      aRefused.why_ == StartRejection::Other) {
     aWorker.refusalBackoffUntil_ = aNow + kNoCapacityPause;
   }
   DropRun(aWorker, aRefused.task_, aRefused.run_, TextOf(aRefused.why_), aNow);
@@ -450,7 +450,7 @@
                           Instant aNow)
 {
   std::set<std::pair<std::string, std::uint32_t>> reported;
-  for (const RunFact& fact : aReport.runs_) {
+  for (const RunStatus& fact : aReport.runs_) {
     reported.emplace(fact.task_, fact.run_);
     HandleRun(aWorker, fact, aNow);
   }
@@ -480,7 +480,7 @@
 
 void
 FleetScheduler::HandleRun(FleetWorker& aWorker,
-                          const RunFact& aFact,
+                          const RunStatus& aFact,
                           Instant aNow)
 {
   const auto name = TaskKey::Parse(aFact.task_);
--- a/Source/Process/FleetSide.h
+++ b/Source/Process/FleetSide.h
@@ -320,7 +320,7 @@
 
   void OnHello(SideLink* aLink, const FleetHelloMessage& aHello, Instant aNow)
   {
-    if (!aHello.leads_ || aHello.epoch_ < keeper_.Epoch() ||
+    if (!aHello.isLeader_ || aHello.epoch_ < keeper_.Epoch() ||
         aHello.epoch_ < linkEpoch_) {
       aLink->Close();
       return;
--- a/Source/Process/FleetWorker.h
+++ b/Source/Process/FleetWorker.h
@@ -19,7 +19,7 @@
 /** Resources that a task uses on its worker. */
 struct TaskResources
 {
-  FleetRoom room_;
+  FleetResources room_;
   /** CPU request of a backfill task, in thousandths of a processor. Backfill
    * uses what other tasks leave over, so the request is not part of room_. */
   std::int64_t backfillCpuMilli_ = 0;
@@ -93,11 +93,11 @@
   /** Unknown runs, which have been ordered to stop. Their resources are
    * unknown, so nothing starts on the worker until they have ended. */
   std::set<std::pair<std::string, std::uint32_t>> unknownRuns_;
-  FleetRoom used_;
+  FleetResources used_;
   /** Part of used_ that belongs to long-running tasks. */
-  FleetRoom longRunningUsed_;
+  FleetResources longRunningUsed_;
   /** Part of used_ that can be preempted, by priority. */
-  std::map<std::int64_t, FleetRoom> preemptible_;
+  std::map<std::int64_t, FleetResources> preemptible_;
   std::int64_t backfillCpuMilli_ = 0;
   std::uint32_t serving_ = 0;
   /** End of the backoff after the worker refused a task for lack of
@@ -137,7 +137,7 @@
    * tasks started. */
   Instant trialStartedAt_;
 
-  FleetRoom Free() const
+  FleetResources Free() const
   {
     return { facts_.room_.cpuMilli_ - used_.cpuMilli_,
              facts_.room_.memoryMb_ - used_.memoryMb_,
@@ -145,9 +145,9 @@
   }
 
   /** Free resources if all work that this priority may preempt had ended. */
-  FleetRoom FreeAfterPreemption(std::int64_t aPriority) const
+  FleetResources FreeAfterPreemption(std::int64_t aPriority) const
   {
-    FleetRoom room = Free();
+    FleetResources room = Free();
     for (auto lower = preemptible_.upper_bound(aPriority);
          lower != preemptible_.end();
          ++lower) {
@@ -237,7 +237,9 @@
     }
   }
 
-  static void AddTo(FleetRoom& aSum, const FleetRoom& aRoom, int aSign)
+  static void AddTo(FleetResources& aSum,
+                    const FleetResources& aRoom,
+                    int aSign)
   {
     aSum.cpuMilli_ += aSign * aRoom.cpuMilli_;
     aSum.memoryMb_ += aSign * aRoom.memoryMb_;
--- a/Source/Process/Lane.cxx
+++ b/Source/Process/Lane.cxx
@@ -287,7 +287,7 @@
     tick_->start(kTick);
   }
   meter_.Begin(id, facts.tenant_, ClassOf(*service), now);
-  aExchange.OnCallerHungUp(
+  aExchange.OnDisconnected(
     [this, id] { Run(core_->OnCallerDisconnected(id, ReadMonotonicClock())); });
   Run(core_->OnRequest(facts, now));
 }
--- a/Source/Process/LeaderLink.cxx
+++ b/Source/Process/LeaderLink.cxx
@@ -107,7 +107,7 @@
 void
 LeaderLink::OnMessage(const WireMessage& aMessage)
 {
-  const auto* answer = std::get_if<FleetAnswerMessage>(&aMessage);
+  const auto* answer = std::get_if<FleetResponseMessage>(&aMessage);
   if (answer == nullptr) {
     return;
   }
@@ -126,7 +126,7 @@
 }
 
 void
-LeaderLink::Ask(FleetAskMessage aAsk, Millis aTimeout, Callback aCallback)
+LeaderLink::Ask(FleetRequestMessage aAsk, Millis aTimeout, Callback aCallback)
 {
   SideLink* link = Link();
   if (link == nullptr) {
@@ -153,7 +153,7 @@
 }
 
 void
-LeaderLink::Notify(FleetAskMessage aAsk)
+LeaderLink::Notify(FleetRequestMessage aAsk)
 {
   if (SideLink* link = Link()) {
     aAsk.id_ = 0;
--- a/Source/Process/LeaderLink.h
+++ b/Source/Process/LeaderLink.h
@@ -27,7 +27,7 @@
   Q_OBJECT
 
 public:
-  using Callback = std::function<void(std::optional<FleetAnswerMessage>)>;
+  using Callback = std::function<void(std::optional<FleetResponseMessage>)>;
 
   LeaderLink(std::string aNode, double aProcessors);
   ~LeaderLink() override;
@@ -38,10 +38,10 @@
 
   /** Sends a request and calls aCallback exactly once, with std::nullopt if no
    * answer arrives within aTimeout or the link is lost. */
-  void Ask(FleetAskMessage aAsk, Millis aTimeout, Callback aCallback);
+  void Ask(FleetRequestMessage aAsk, Millis aTimeout, Callback aCallback);
 
   /** Sends a request that expects no answer. */
-  void Notify(FleetAskMessage aAsk);
+  void Notify(FleetRequestMessage aAsk);
 
   /** Returns whether the link is open and no request has timed out since the
    * last answer. */
--- a/Source/Process/MembershipListener.cxx
+++ b/Source/Process/MembershipListener.cxx
@@ -49,7 +49,7 @@
       continue;
     }
     const Result<WireMessage> message =
-      OpenDatagram({ bytes.constData(), static_cast<std::size_t>(size) });
+      DecodeDatagram({ bytes.constData(), static_cast<std::size_t>(size) });
     const auto* decoded = std::get_if<WireMessage>(&message);
     const auto* heartbeat =
       decoded == nullptr ? nullptr : std::get_if<HeartbeatMessage>(decoded);
@@ -90,7 +90,7 @@
       ack.entries_.push_back(std::move(entry));
     }
   }
-  const std::string frame = SealDatagram(ack);
+  const std::string frame = EncodeDatagram(ack);
   socket_.writeDatagram(
     frame.data(), static_cast<qint64>(frame.size()), aFrom, aFromPort);
 }
--- a/Source/Process/PlacementMisses.h
+++ b/Source/Process/PlacementMisses.h
@@ -38,7 +38,7 @@
     std::string image_;
     bool backfill_ = false;
     std::int64_t priority_ = 0;
-    FleetRoom room_;
+    FleetResources room_;
   };
 
   static Miss MissOf(const JobDescription& aJob, const StepSpec& aStep);
--- a/Source/Process/RequestMeter.cxx
+++ b/Source/Process/RequestMeter.cxx
@@ -88,9 +88,10 @@
   metrics_.Count(Counter::RequestsMalformed,
                  aCounts.malformed_ - published_.malformed_);
   metrics_.Count(Counter::RequestsTooSlow,
-                 aCounts.tooSlow_ - published_.tooSlow_);
+                 aCounts.timedOutRequests_ - published_.timedOutRequests_);
   metrics_.Count(Counter::CallersGone,
-                 aCounts.callersGone_ - published_.callersGone_);
+                 aCounts.callersDisconnected_ -
+                   published_.callersDisconnected_);
   published_ = aCounts;
 }
 
--- a/Source/Process/SideProcess.cxx
+++ b/Source/Process/SideProcess.cxx
@@ -314,8 +314,9 @@
     Run(core_.OnDispatch(aLink, *dispatch, now));
   } else if (const auto* cancel = std::get_if<CancelMessage>(&aMessage)) {
     Run(core_.OnCancel(aLink, *cancel, now));
-  } else if (const auto* recall = std::get_if<RecallMessage>(&aMessage)) {
-    RecollectionMessage recollection;
+  } else if (const auto* recall =
+               std::get_if<HistoryRequestMessage>(&aMessage)) {
+    HistoryResponseMessage recollection;
     recollection.question_ = recall->question_;
     for (const RequestStep& step : journal_.Recall(recall->requestId_)) {
       recollection.steps_.push_back(ToJson(step));
@@ -370,7 +371,7 @@
       continue;
     }
     const Result<WireMessage> message =
-      OpenDatagram({ bytes.constData(), static_cast<std::size_t>(size) });
+      DecodeDatagram({ bytes.constData(), static_cast<std::size_t>(size) });
     const auto* decoded = std::get_if<WireMessage>(&message);
     const auto* ack =
       decoded == nullptr ? nullptr : std::get_if<HeartbeatAckMessage>(decoded);
@@ -401,7 +402,7 @@
   heartbeat.address_ = settings_.listen_.ip_;
   heartbeat.port_ = server_.serverPort();
   heartbeat.configVersion_ = configuration_.Current()->version_;
-  const std::string frame = SealDatagram(heartbeat);
+  const std::string frame = EncodeDatagram(heartbeat);
   const Instant now = ReadMonotonicClock();
   std::erase_if(entries_, [now](const auto& aEntry) {
     return !aEntry.second.fromSettings_ &&
--- a/Source/Process/TableWatch.h
+++ b/Source/Process/TableWatch.h
@@ -149,7 +149,7 @@
       QTimer::singleShot(kRetry, this, [this] { Follow(); });
       return;
     }
-    if (changes->historyGone_) {
+    if (changes->historyExpired_) {
       LogChange("table-read-anew", { { "table", table_ } });
       Start();
       return;
--- a/Source/Process/WorkerChoice.cxx
+++ b/Source/Process/WorkerChoice.cxx
@@ -60,7 +60,7 @@
 double
 UsedShare(const FleetWorker& aWorker)
 {
-  const FleetRoom& room = aWorker.facts_.room_;
+  const FleetResources& room = aWorker.facts_.room_;
   const double cpu = room.cpuMilli_ <= 0
                        ? 1
                        : static_cast<double>(aWorker.used_.cpuMilli_ +
@@ -199,7 +199,7 @@
 
 }
 
-FleetRoom
+FleetResources
 FixedResourcesOf(const StepSpec& aStep)
 {
   return { aStep.backfill_ ? 0 : aStep.cpuMilli_,
@@ -245,9 +245,9 @@
 }
 
 bool
-HasCapacityFor(const FleetWorker& aWorker, const FleetRoom& aRoom)
+HasCapacityFor(const FleetWorker& aWorker, const FleetResources& aRoom)
 {
-  const FleetRoom free = aWorker.Free();
+  const FleetResources free = aWorker.Free();
   return free.cpuMilli_ >= aRoom.cpuMilli_ &&
          free.memoryMb_ >= aRoom.memoryMb_ &&
          free.accelerators_ >= aRoom.accelerators_;
@@ -260,7 +260,7 @@
        const ChoiceFacts& aFacts,
        bool aUncordonedOnly)
 {
-  const FleetRoom room = FixedResourcesOf(*aFacts.step_);
+  const FleetResources room = FixedResourcesOf(*aFacts.step_);
   std::optional<std::size_t> best;
   double bestCost = kIneligibleCost;
   for (std::size_t i = 0; i < aOptions.size(); ++i) {
--- a/Source/Process/WorkerChoice.h
+++ b/Source/Process/WorkerChoice.h
@@ -44,7 +44,7 @@
 
 /** Returns the resources that a task of the step reserves on its worker;
  * backfill reserves no processors. */
-FleetRoom
+FleetResources
 FixedResourcesOf(const StepSpec& aStep);
 
 /** Returns the same resources, with the properties of the task that matter to
@@ -59,7 +59,7 @@
 
 /** Whether the free capacity of the worker is sufficient. */
 bool
-HasCapacityFor(const FleetWorker& aWorker, const FleetRoom& aRoom);
+HasCapacityFor(const FleetWorker& aWorker, const FleetResources& aRoom);
 
 /**
  * Returns the index of the best worker for a task; none if the task should
--- a/Source/Process/WorkerKeeper.cxx
+++ b/Source/Process/WorkerKeeper.cxx
@@ -212,10 +212,10 @@
   ordersSeen_ = aOrders.sequence_;
   const Instant until =
     Instant(Micros(static_cast<std::int64_t>(aOrders.echoMicros_))) +
-    Micros(static_cast<std::int64_t>(aOrders.holdMicros_));
+    Micros(static_cast<std::int64_t>(aOrders.leaseMicros_));
   authorityUntil_ = std::max(authorityUntil_, until);
-  highFrequencyUntil_ = Instant(Micros(
-    static_cast<std::int64_t>(aOrders.echoMicros_ + aOrders.watchMicros_)));
+  highFrequencyUntil_ = Instant(Micros(static_cast<std::int64_t>(
+    aOrders.echoMicros_ + aOrders.highFrequencyMicros_)));
   if (aOrders.workerId_ != facts_.id_) {
     // The orders address a past incarnation of the worker, whose runs are gone;
     // the next report shows that.
@@ -413,17 +413,17 @@
  * the expiry of the order could start a task whose job has been cancelled in
  * the meantime.
  */
-std::optional<StartRefusal>
+std::optional<StartRejection>
 WorkerKeeper::WithdrawalReason(const LocalRun& aRun, Instant aNow) const
 {
   if (aRun.phase_ != Phase::Starting || aRun.callInFlight_) {
     return std::nullopt;
   }
   if (facts_.draining_) {
-    return StartRefusal::Other;
+    return StartRejection::Other;
   }
   if (aNow >= aRun.startUntil_) {
-    return StartRefusal::Expired;
+    return StartRejection::Expired;
   }
   return std::nullopt;
 }
@@ -432,7 +432,7 @@
 WorkerKeeper::WithdrawStarts(Instant aNow)
 {
   for (auto entry = runs_.begin(); entry != runs_.end();) {
-    const std::optional<StartRefusal> why =
+    const std::optional<StartRejection> why =
       WithdrawalReason(entry->second, aNow);
     if (!why.has_value()) {
       ++entry;
@@ -452,7 +452,7 @@
  * running nor as ended for the maximum duration of a stop.
  */
 WorkerKeeper::Runs::iterator
-WorkerKeeper::WithdrawStart(Runs::iterator aEntry, StartRefusal aWhy)
+WorkerKeeper::WithdrawStart(Runs::iterator aEntry, StartRejection aWhy)
 {
   LocalRun& run = aEntry->second;
   if (run.startOutcomeUnknown_) {
@@ -465,7 +465,7 @@
 
 /** Reports to the leader that the run did not start; returns the next run. */
 WorkerKeeper::Runs::iterator
-WorkerKeeper::RefuseStart(Runs::iterator aEntry, StartRefusal aWhy)
+WorkerKeeper::RefuseStart(Runs::iterator aEntry, StartRejection aWhy)
 {
   refused_.push_back({ aEntry->first.first, aEntry->first.second, aWhy });
   reportDue_ = true;
@@ -615,7 +615,7 @@
   LocalRun& run = found->second;
   run.callInFlight_ = false;
   run.nextCallAt_ = aNow;
-  StartRefusal why = StartRefusal::Other;
+  StartRejection why = StartRejection::Other;
   switch (aAnswer.outcome_) {
     case CallOutcome::Accepted:
       if (run.phase_ == Phase::Starting) {
@@ -636,18 +636,18 @@
       run.nextCallAt_ = std::max(aNow, aCall.sentAt_ + kOrderRetry);
       return;
     case CallOutcome::Old:
-      why = StartRefusal::Old;
+      why = StartRejection::Old;
       break;
     case CallOutcome::NoRoom:
-      why = StartRefusal::NoRoom;
+      why = StartRejection::NoRoom;
       break;
     case CallOutcome::Ticket:
-      why = StartRefusal::Ticket;
+      why = StartRejection::Ticket;
       break;
     case CallOutcome::NotDone:
       break;
   }
-  if (why == StartRefusal::Old) {
+  if (why == StartRejection::Old) {
     // The run ended before this answer; its end is listed or already stored.
     run.phase_ = Phase::Running;
     run.answeredAt_ = aNow;
@@ -720,7 +720,7 @@
                             Instant aNow)
 {
   std::set<RunKey> listed;
-  for (const RunFact& fact : aAnswer.runs_) {
+  for (const RunStatus& fact : aAnswer.runs_) {
     const RunKey key(fact.task_, fact.run_);
     listed.insert(key);
     LocalRun& run = runs_[key];
@@ -733,7 +733,7 @@
     run.percent_ = fact.percent_;
     run.measure_ = fact.measure_;
   }
-  for (const EndFact& end : aAnswer.ends_) {
+  for (const RunEndReport& end : aAnswer.ends_) {
     if (end.number_ > endsStored_ && ends_.emplace(end.number_, end).second) {
       reportDue_ = true;
     }
@@ -825,7 +825,7 @@
   report.measuredMicrosAgo_ =
     static_cast<std::uint64_t>((aNow - measuredAt_).count());
   for (const auto& [key, run] : runs_) {
-    RunFact fact;
+    RunStatus fact;
     fact.task_ = key.first;
     fact.run_ = key.second;
     fact.starting_ = run.phase_ == Phase::Starting;
--- a/Source/Process/WorkerKeeper.h
+++ b/Source/Process/WorkerKeeper.h
@@ -97,8 +97,8 @@
    * answer. */
   std::optional<std::int64_t> clockMs_;
   /** Answer to a hold: current runs, and ends that the worker still lists. */
-  std::vector<RunFact> runs_;
-  std::vector<EndFact> ends_;
+  std::vector<RunStatus> runs_;
+  std::vector<RunEndReport> ends_;
   /** The list of ends was truncated; later answers contain the rest. */
   bool endsTruncated_ = false;
 };
@@ -203,7 +203,7 @@
     bool startOutcomeUnknown_ = false;
     /** Reason to refuse the start unless the worker lists the run after its
      * stop. */
-    std::optional<StartRefusal> refusal_;
+    std::optional<StartRejection> refusal_;
     Instant nextCallAt_;
     /** Time at which the worker answered the last order. */
     Instant answeredAt_;
@@ -250,10 +250,10 @@
   CallHeader Head(CallInFlight aCall, Millis aTimeout, Instant aNow);
   void AddHold(std::vector<WorkerCall>& aCalls, Instant aNow);
   void WithdrawStarts(Instant aNow);
-  std::optional<StartRefusal> WithdrawalReason(const LocalRun& aRun,
-                                               Instant aNow) const;
-  Runs::iterator WithdrawStart(Runs::iterator aEntry, StartRefusal aWhy);
-  Runs::iterator RefuseStart(Runs::iterator aEntry, StartRefusal aWhy);
+  std::optional<StartRejection> WithdrawalReason(const LocalRun& aRun,
+                                                 Instant aNow) const;
+  Runs::iterator WithdrawStart(Runs::iterator aEntry, StartRejection aWhy);
+  Runs::iterator RefuseStart(Runs::iterator aEntry, StartRejection aWhy);
   void AddOrders(std::vector<WorkerCall>& aCalls, Instant aNow);
   bool AddStart(std::vector<WorkerCall>& aCalls,
                 const RunKey& aKey,
@@ -311,10 +311,10 @@
   /** Latest possible end of all leases that were requested. */
   Instant leasesExpireAt_;
   Runs runs_;
-  std::map<std::uint64_t, EndFact> ends_;
+  std::map<std::uint64_t, RunEndReport> ends_;
   std::uint64_t endsStored_ = 0;
   std::uint64_t endsReported_ = 0;
-  std::vector<RefusedRun> refused_;
+  std::vector<RejectedRun> refused_;
   std::map<std::uint64_t, CallInFlight> calls_;
   std::uint64_t nextCall_ = 1;
   std::size_t ordersInFlight_ = 0;
--- a/Tests/Fleet/FleetHarmTest.cxx
+++ b/Tests/Fleet/FleetHarmTest.cxx
@@ -30,14 +30,14 @@
 {
   HarmBench bench;
   bench.Run(Millis(2500));
-  cr_assert_eq(bench.watchMicros_, 0);
+  cr_assert_eq(bench.highFrequencyMicros_, 0);
   bench.scheduler_.OnJobStored(HarmBench::Serving(), bench.now_);
   bench.Run(Millis(2500));
-  cr_assert_gt(bench.watchMicros_, 0);
+  cr_assert_gt(bench.highFrequencyMicros_, 0);
   bench.scheduler_.OnCancelStored("serving", bench.now_);
   bench.runs_.clear();
   bench.Run(Millis(2500));
-  cr_assert_eq(bench.watchMicros_, 0);
+  cr_assert_eq(bench.highFrequencyMicros_, 0);
 }
 
 // The latency exceeds its objective for a cause other than backfill, which is
@@ -118,7 +118,7 @@
     bench.scheduler_.OnJobStored(batch, bench.now_);
     bench.Run(Millis(200));
     double asked = 0;
-    for (const RunFact& run : bench.runs_) {
+    for (const RunStatus& run : bench.runs_) {
       double pace = 1;
       for (const PaceOrder& order : bench.paces_) {
         pace = order.task_ == run.task_ ? order.percent_ / 100.0 : pace;
--- a/Tests/Fleet/FleetWorld.cxx
+++ b/Tests/Fleet/FleetWorld.cxx
@@ -184,7 +184,9 @@
 void
 WorkerFake::End(const Run& aRun, EndKind aKind)
 {
-  EndFact end{ nextEnd_++, aRun.task_, aRun.run_, aKind, aRun.checkpoint_ };
+  RunEndReport end{
+    nextEnd_++, aRun.task_, aRun.run_, aKind, aRun.checkpoint_
+  };
   std::uint32_t& highest = highestEnded_[aRun.task_];
   highest = std::max(highest, aRun.run_);
   ends_.push_back(end);
@@ -254,7 +256,7 @@
 
 // Fleet.
 
-FleetWorld::FleetWorld(std::size_t aHosts, FleetRoom aRoom)
+FleetWorld::FleetWorld(std::size_t aHosts, FleetResources aRoom)
   : now_(At(1000000))
 {
   for (std::size_t i = 0; i < aHosts; ++i) {
--- a/Tests/Fleet/FleetWorld.h
+++ b/Tests/Fleet/FleetWorld.h
@@ -67,7 +67,7 @@
   /** The port accepts calls and closes them without an answer or an effect. */
   bool mute_ = false;
   std::vector<Run> runs_;
-  std::deque<EndFact> ends_;
+  std::deque<RunEndReport> ends_;
   std::uint64_t fence_ = 0;
   std::uint64_t acknowledged_ = 0;
   /** Accepted starts, as "task/run". */
@@ -95,7 +95,7 @@
   std::string node_;
   std::unique_ptr<WorkerKeeper> keeper_ = {};
   WorkerFake worker_;
-  FleetRoom room_;
+  FleetResources room_;
   std::string rack_;
   std::vector<std::string> labels_ = {};
   bool linked_ = false;
@@ -118,7 +118,7 @@
 {
 public:
   explicit FleetWorld(std::size_t aHosts,
-                      FleetRoom aRoom = { 16000, 64000, 0 });
+                      FleetResources aRoom = { 16000, 64000, 0 });
 
   /** Advances the time in steps of 10 ms. */
   void Run(Millis aFor);
--- a/Tests/Fleet/HarmBench.h
+++ b/Tests/Fleet/HarmBench.h
@@ -57,7 +57,7 @@
   void End(const std::string& aJob, EndKind aKind)
   {
     const auto run =
-      std::find_if(runs_.begin(), runs_.end(), [&aJob](const RunFact& aRun) {
+      std::find_if(runs_.begin(), runs_.end(), [&aJob](const RunStatus& aRun) {
         return aRun.task_.starts_with(aJob);
       });
     ends_.push_back({ ++lastEnd_, run->task_, run->run_, aKind, {} });
@@ -74,7 +74,7 @@
       for (const SideOrders& orders : scheduler_.TakeOrders(
              now_, kWallMs + now_.time_since_epoch().count() / 1000)) {
         sequence_ = orders.orders_.sequence_;
-        watchMicros_ = orders.orders_.watchMicros_;
+        highFrequencyMicros_ = orders.orders_.highFrequencyMicros_;
         for (const StartOrder& start : orders.orders_.starts_) {
           runs_.push_back({ start.task_, start.run_, false, "", 1, 1000 });
           if (start.task_.starts_with("serving")) {
@@ -88,7 +88,7 @@
                       orders.orders_.paces_.begin(),
                       orders.orders_.paces_.end());
       }
-      for (RunFact& run : runs_) {
+      for (RunStatus& run : runs_) {
         if (run.task_.starts_with("serving")) {
           run.measure_ = latency_;
         } else {
@@ -104,7 +104,7 @@
   bool Runs(const std::string& aJob) const
   {
     return std::any_of(
-      runs_.begin(), runs_.end(), [&aJob](const RunFact& aRun) {
+      runs_.begin(), runs_.end(), [&aJob](const RunStatus& aRun) {
         return aRun.task_.starts_with(aJob);
       });
   }
@@ -112,14 +112,14 @@
   Instant now_ = At(100000);
   FleetScheduler scheduler_;
   std::uint64_t sequence_ = 0;
-  std::vector<RunFact> runs_;
-  std::vector<EndFact> ends_;
+  std::vector<RunStatus> runs_;
+  std::vector<RunEndReport> ends_;
   std::uint64_t lastEnd_ = 0;
   std::vector<StopOrder> stops_;
   std::vector<PaceOrder> paces_;
   std::uint32_t latency_ = 4;
   /** Validity of the last order of high-frequency reporting; 0 if none. */
-  std::uint64_t watchMicros_ = 0;
+  std::uint64_t highFrequencyMicros_ = 0;
 };
 
 }
--- a/Tests/Fleet/ReportChangeTest.cxx
+++ b/Tests/Fleet/ReportChangeTest.cxx
@@ -20,10 +20,10 @@
 
 namespace {
 
-RunFact
+RunStatus
 MakeRun(int aNumber)
 {
-  RunFact fact;
+  RunStatus fact;
   fact.task_ = "5c0e7a21d94b36f8.0.1." + std::to_string(aNumber);
   fact.run_ = 1;
   fact.percent_ = 10;
@@ -58,7 +58,7 @@
 {
   std::sort(aReport.runs_.begin(),
             aReport.runs_.end(),
-            [](const RunFact& aLeft, const RunFact& aRight) {
+            [](const RunStatus& aLeft, const RunStatus& aRight) {
               return std::tie(aLeft.task_, aLeft.run_) <
                      std::tie(aRight.task_, aRight.run_);
             });
@@ -71,7 +71,7 @@
 {
   aReport.clockMicros_ += 1000;
   aReport.ends_.clear();
-  for (RunFact& fact : aReport.runs_) {
+  for (RunStatus& fact : aReport.runs_) {
     if (aRandom() % 2 == 0) {
       fact.percent_ = aRandom() % 101;
       fact.measure_ = aRandom() % 70000;
@@ -204,7 +204,7 @@
   ReportEncoder encoder;
   FleetReport report = MakeReport(12);
   const std::size_t whole = EncodeFrame(encoder.Encode(report)).size();
-  for (RunFact& fact : report.runs_) {
+  for (RunStatus& fact : report.runs_) {
     fact.percent_ += 7;
     fact.measure_ += 100;
   }
--- a/Tests/Fleet/WorkerKeeperTest.cxx
+++ b/Tests/Fleet/WorkerKeeperTest.cxx
@@ -27,8 +27,8 @@
   orders.workerId_ = aWorker;
   orders.echoMicros_ =
     static_cast<std::uint64_t>(aEcho.time_since_epoch().count());
-  orders.holdMicros_ = 8000000;
-  orders.startsUntilMicros_ = orders.echoMicros_ + orders.holdMicros_;
+  orders.leaseMicros_ = 8000000;
+  orders.startsUntilMicros_ = orders.echoMicros_ + orders.leaseMicros_;
   return orders;
 }
 
@@ -69,7 +69,7 @@
 
   /** Takes the calls that are due and answers the holds; returns all calls. */
   std::vector<WorkerCall> AnswerHold(std::int64_t aNow,
-                                     const std::vector<RunFact>& aRuns)
+                                     const std::vector<RunStatus>& aRuns)
   {
     std::vector<WorkerCall> calls = keeper_.TakeCalls(At(aNow));
     for (const HoldCall& hold : CallsOf<HoldCall>(calls)) {
@@ -110,9 +110,9 @@
 
   /** Answers holds with empty lists until a stop must be complete; returns the
    * runs that were reported as refused. */
-  std::vector<RefusedRun> HoldUntilStopsComplete(std::int64_t aFrom)
+  std::vector<RejectedRun> HoldUntilStopsComplete(std::int64_t aFrom)
   {
-    std::vector<RefusedRun> refused;
+    std::vector<RejectedRun> refused;
     // A stop takes up to 500 ms, and its answer adds some latency.
     for (std::int64_t now = aFrom; now <= aFrom + 800; now += 50) {
       AnswerHold(now, {});
@@ -154,9 +154,9 @@
 {
   Fixture fixture;
   FleetOrders orders = Orders("w1", 2, At(10800));
-  orders.watchMicros_ = 1000000;
+  orders.highFrequencyMicros_ = 1000000;
   fixture.keeper_.OnOrders(orders, At(10800));
-  const std::vector<RunFact> runs{ { "j.0.0.0", 1, false, "", 100, 7 } };
+  const std::vector<RunStatus> runs{ { "j.0.0.0", 1, false, "", 100, 7 } };
   int close = 0;
   int regular = 0;
   for (std::int64_t now = 10800; now < 13800; now += 250) {
@@ -178,7 +178,7 @@
 Test(WorkerKeeper, RunsOfPermanentlyLostWorkerAreAbandoned)
 {
   Fixture fixture;
-  const std::vector<RunFact> runs{ { "j.0.0.0", 1, false, "", 100, 7 } };
+  const std::vector<RunStatus> runs{ { "j.0.0.0", 1, false, "", 100, 7 } };
   fixture.AnswerHold(10800, runs);
   cr_assert_eq(fixture.keeper_.TakeReport(At(11800))->runs_.size(), 1);
   std::size_t held = 1;
@@ -267,13 +267,13 @@
     fixture.StopStartWithUnknownOutcome();
     std::size_t refused = 0;
     std::size_t ends = 0;
-    const std::vector<RunFact> runs{ { "j.0.0.0", 1, false, "", 100, 7 } };
+    const std::vector<RunStatus> runs{ { "j.0.0.0", 1, false, "", 100, 7 } };
     for (std::int64_t now = 19310; now < 21500; now += 50) {
       const bool ended = !stillRuns || now > 19500;
       for (const HoldCall& hold :
            CallsOf<HoldCall>(fixture.keeper_.TakeCalls(At(now)))) {
         CallAnswer answer = Answer(CallOutcome::Accepted, now - 9500);
-        answer.runs_ = ended ? std::vector<RunFact>() : runs;
+        answer.runs_ = ended ? std::vector<RunStatus>() : runs;
         if (ended) {
           answer.ends_ = { { 1, "j.0.0.0", 1, EndKind::Done, "" } };
         }
@@ -315,7 +315,7 @@
     starts[0].head_.id_, Answer(CallOutcome::NoRoom, 1300), At(10810));
   const auto report = fixture.keeper_.TakeReport(At(10810));
   cr_assert_eq(report->refused_.size(), 1);
-  cr_assert_eq(report->refused_[0].why_, StartRefusal::NoRoom);
+  cr_assert_eq(report->refused_[0].why_, StartRejection::NoRoom);
 }
 
 // Guards against runs that are abandoned, because the announcement of a crashed
--- a/Tests/Fuzz/FuzzTargets.cxx
+++ b/Tests/Fuzz/FuzzTargets.cxx
@@ -157,7 +157,7 @@
   report.runs_.push_back({ "5c0e7a21d94b36f8.0.1.3", 2, true, "", 0, 0 });
   report.ends_.push_back({ 7, "5c0e7a21d94b36f8.0.1.2", 1, EndKind::Done, "" });
   report.refused_.push_back(
-    { "5c0e7a21d94b36f8.0.1.4", 1, StartRefusal::NoRoom });
+    { "5c0e7a21d94b36f8.0.1.4", 1, StartRejection::NoRoom });
   const std::string change = EncodeFrame(encoder.Encode(report));
   FleetOrders orders;
   orders.starts_.push_back({ "5c0e7a21d94b36f8.0.1.5", 1, "spec", "", "" });
@@ -167,9 +167,9 @@
            change,
            EncodeFrame(orders),
            EncodeFrame(FleetHelloMessage{ "entry1", true, 3, 500 }),
-           EncodeFrame(FleetAskMessage{
-             1, FleetQuestion::JobStored, "5c0e7a21d94b36f8", "record" }),
-           EncodeFrame(FleetAnswerMessage{ 1, FleetOutcome::Ok, 7 }) };
+           EncodeFrame(FleetRequestMessage{
+             1, FleetRequestKind::JobStored, "5c0e7a21d94b36f8", "record" }),
+           EncodeFrame(FleetResponseMessage{ 1, FleetOutcome::Ok, 7 }) };
 }
 
 std::vector<std::string>
--- a/Tests/Process/BadInputTest.cxx
+++ b/Tests/Process/BadInputTest.cxx
@@ -275,7 +275,7 @@
                    EncodeFrame(CancelMessage{ "attempt" }).substr(0, 11));
   bad.emplace_back("oversized", std::string(1600, 'x'));
   bad.emplace_back("of a kind that is not sent by datagram",
-                   EncodeFrame(RecallMessage{ "q", "r" }));
+                   EncodeFrame(HistoryRequestMessage{ "q", "r" }));
   for (const auto& [name, bytes] : bad) {
     const auto size = static_cast<qint64>(bytes.size());
     fakeEntry.writeDatagram(
--- a/Tests/Process/SecurityTest.cxx
+++ b/Tests/Process/SecurityTest.cxx
@@ -176,7 +176,7 @@
   QTcpSocket stranger;
   stranger.connectToHost(address.section(':', 0, 0),
                          address.section(':', 1).toUShort());
-  RecallMessage recall;
+  HistoryRequestMessage recall;
   recall.requestId_ = id;
   const std::string frame = EncodeFrame(recall);
   stranger.write(frame.data(), static_cast<qint64>(frame.size()));
--- a/Tests/Unit/HttpGuardTest.cxx
+++ b/Tests/Unit/HttpGuardTest.cxx
@@ -77,7 +77,7 @@
   cr_assert(counts.malformed_ == 1);
   cr_assert(counts.headTooLarge_ == 2);
   cr_assert(counts.bodyTooLarge_ == 1);
-  cr_assert(counts.tooSlow_ == 1);
+  cr_assert(counts.timedOutRequests_ == 1);
   cr_assert(fixture.exchanges_.empty(),
             "The library received malformed input.");
 }
@@ -91,9 +91,10 @@
   fixture.client_.write("GET / HTTP/1.1\r\n\r\n");
   fixture.Until([&] { return fixture.exchanges_.size() == 1; });
   bool notified = false;
-  fixture.exchanges_[0].OnCallerHungUp([&notified] { notified = true; });
+  fixture.exchanges_[0].OnDisconnected([&notified] { notified = true; });
   fixture.client_.abort();
-  fixture.Until([&] { return fixture.front_->Counts().callersGone_ == 1; });
+  fixture.Until(
+    [&] { return fixture.front_->Counts().callersDisconnected_ == 1; });
   cr_assert(notified);
   HttpAnswer answer;
   answer.body_ = std::string(100000, 'x');
--- a/Tests/Unit/LinkSessionTest.cxx
+++ b/Tests/Unit/LinkSessionTest.cxx
@@ -173,16 +173,16 @@
   const auto ring = Ring(Key("a", '1') + "," + Key("b", '2'));
   HeartbeatMessage heartbeat;
   heartbeat.sideId_ = "s1";
-  const std::string good = SealDatagram(heartbeat, *ring);
-  cr_assert(Succeeded(OpenDatagram(good, *ring)));
+  const std::string good = EncodeDatagram(heartbeat, *ring);
+  cr_assert(Succeeded(DecodeDatagram(good, *ring)));
   cr_assert(Succeeded(
-    OpenDatagram(SealDatagram(heartbeat, *Ring(Key("b", '2'))), *ring)));
-  const std::string open = SealDatagram(heartbeat, KeyRing());
-  const auto untagged = OpenDatagram(open, *ring);
+    DecodeDatagram(EncodeDatagram(heartbeat, *Ring(Key("b", '2'))), *ring)));
+  const std::string open = EncodeDatagram(heartbeat, KeyRing());
+  const auto untagged = DecodeDatagram(open, *ring);
   cr_assert(std::get<Failure>(untagged).kind_ == FailureKind::Refused);
   for (std::size_t bit = 0; bit < good.size() * 8; ++bit) {
     std::string flipped = good;
     flipped[bit / 8] = static_cast<char>(flipped[bit / 8] ^ (1 << (bit % 8)));
-    cr_assert(!Succeeded(OpenDatagram(flipped, *ring)));
+    cr_assert(!Succeeded(DecodeDatagram(flipped, *ring)));
   }
 }
