--- a/Source/Process/Journal.cxx
+++ b/Source/Process/Journal.cxx
@@ -65,7 +65,7 @@
 }
 
 void
-Journal::KeepNew()
+Journal::CollectNew()
 {
   collectNew_ = true;
 }
--- a/Source/Process/Journal.h
+++ b/Source/Process/Journal.h
@@ -31,7 +31,7 @@
   std::size_t Size() const;
 
   /** Starts to collect new steps for TakeNew(), up to kMaxNew per shard. */
-  void KeepNew();
+  void CollectNew();
 
   /** Removes and returns the collected steps from before a wall-clock time in
    * microseconds. */
--- a/Source/Process/JournalStore.cxx
+++ b/Source/Process/JournalStore.cxx
@@ -39,7 +39,7 @@
     , plan_(std::move(aPlan))
     , firstSlot_(SlotNow())
   {
-    journal_.KeepNew();
+    journal_.CollectNew();
   }
 
   std::uint64_t SlotNow() const
--- a/Source/Process/MembershipView.cxx
+++ b/Source/Process/MembershipView.cxx
@@ -36,7 +36,7 @@
     change = MembershipChange::StateChanged;
   }
   view.heartbeat_ = aHeartbeat;
-  view.usableUntil_ = aNow + kSideSilence;
+  view.usableUntil_ = aNow + kSideHeartbeatTimeout;
   return change;
 }
 
@@ -51,7 +51,7 @@
 }
 
 bool
-MembershipView::IsSilent(std::string_view aSideId, Instant aNow) const
+MembershipView::IsUnresponsive(std::string_view aSideId, Instant aNow) const
 {
   const auto found = sides_.find(aSideId);
   return found == sides_.end() || found->second.usableUntil_ <= aNow;
--- a/Source/Process/MembershipView.h
+++ b/Source/Process/MembershipView.h
@@ -14,7 +14,7 @@
 
 /** Time after the latest heartbeat at which a side stops getting new work; the
  * limit of promise 7. */
-constexpr Millis kSideSilence{ 2000 };
+constexpr Millis kSideHeartbeatTimeout{ 2000 };
 
 /** State of one side, from its latest heartbeat. */
 struct SideView
@@ -50,7 +50,7 @@
 
   /** Returns whether the side's heartbeats have been absent for so long that it
    * gets no new work; true if the side is unknown. */
-  bool IsSilent(std::string_view aSideId, Instant aNow) const;
+  bool IsUnresponsive(std::string_view aSideId, Instant aNow) const;
 
   /** Returns all sides, ordered by id. */
   std::vector<SideView> All() const;
--- a/Source/Process/Scheduler.cxx
+++ b/Source/Process/Scheduler.cxx
@@ -49,7 +49,7 @@
   void Do(const ReadRowsAction& aAction);
   void Do(const TransactAction& aAction);
   void Do(const CallWorkerAction& aAction);
-  void Do(const NoteAction& aAction);
+  void Do(const AddStepAction& aAction);
   void LogCells();
 
   TableClient& table_;
@@ -149,7 +149,7 @@
 }
 
 void
-Scheduler::Private::Do(const NoteAction& aAction)
+Scheduler::Private::Do(const AddStepAction& aAction)
 {
   journal_.Add(aAction.step_);
 }
--- a/Source/Process/SchedulerActions.h
+++ b/Source/Process/SchedulerActions.h
@@ -34,12 +34,12 @@
 };
 
 /** Adds a step of a task to the journal. */
-struct NoteAction
+struct AddStepAction
 {
   RequestStep step_;
 };
 
 using SchedulerAction =
-  std::variant<ReadRowsAction, TransactAction, CallWorkerAction, NoteAction>;
+  std::variant<ReadRowsAction, TransactAction, CallWorkerAction, AddStepAction>;
 
 }
--- a/Source/Process/SchedulerCore.cxx
+++ b/Source/Process/SchedulerCore.cxx
@@ -699,7 +699,7 @@
   if (!aCheckpoint.empty()) {
     detail += ", checkpoint " + aCheckpoint;
   }
-  actions_.emplace_back(NoteAction{
+  actions_.emplace_back(AddStepAction{
     MakeTaskStep(aRef, std::string(TaskEndText(aEnd)), aVerdict, detail) });
 }
 
@@ -923,7 +923,7 @@
     const auto held = cell.held_.find(ref);
     if (cell.lease_.MayAct(aNow) && held != cell.held_.end() &&
         !held->second.granted_) {
-      actions_.emplace_back(NoteAction{ note });
+      actions_.emplace_back(AddStepAction{ note });
     }
   }
   if (cell.lease_.Owned()) {
@@ -1075,11 +1075,11 @@
       const TaskRecord* task = ledger.Find(reservation.index_);
       const Verdict earlier =
         task == nullptr ? Verdict::MayHaveRun : task->verdict_;
-      actions_.emplace_back(
-        NoteAction{ MakeTaskStep(ref,
-                                 "start sent",
-                                 CombineVerdicts(earlier, Verdict::MayHaveRun),
-                                 "worker " + reservation.workerId_) });
+      actions_.emplace_back(AddStepAction{
+        MakeTaskStep(ref,
+                     "start sent",
+                     CombineVerdicts(earlier, Verdict::MayHaveRun),
+                     "worker " + reservation.workerId_) });
     }
     return start;
   }
@@ -1187,7 +1187,7 @@
   HeldTask& held = aCell.held_.at(ref);
   if (const ReportedTask* running = aWorker.FindRunning(ref)) {
     if (!held.acknowledged_) {
-      actions_.emplace_back(NoteAction{ MakeTaskStep(
+      actions_.emplace_back(AddStepAction{ MakeTaskStep(
         ref, "running", Verdict::Ran, "worker " + aReservation.workerId_) });
     }
     held.acknowledged_ = true;
--- a/Source/Request/EntryCore.cxx
+++ b/Source/Request/EntryCore.cxx
@@ -596,7 +596,7 @@
   // wait until their deadlines although another side has free capacity.
   std::set<std::string> waiting;
   for (const auto& [sideId, ids] : inFlightBySide_) {
-    if (membership_.IsSilent(sideId, awakeClock_.At(aNow))) {
+    if (membership_.IsUnresponsive(sideId, awakeClock_.At(aNow))) {
       waiting.insert(ids.begin(), ids.end());
     }
   }
@@ -627,7 +627,8 @@
     self.SidesOf(service).Remove(id);
     service = aHeartbeat.service_;
   }
-  self.SidesOf(service).Observe(aHeartbeat, awakeAt + kSideSilence, aNow);
+  self.SidesOf(service).Observe(
+    aHeartbeat, awakeAt + kSideHeartbeatTimeout, aNow);
   return change;
 }
 
--- a/Tests/Golden/WorkWorld.h
+++ b/Tests/Golden/WorkWorld.h
@@ -488,7 +488,7 @@
     Transact(aEntry.name_, aAction.transaction_, answer);
   }
 
-  void Do(Entry& aEntry, const cactusrail::NoteAction& aAction)
+  void Do(Entry& aEntry, const cactusrail::AddStepAction& aAction)
   {
     const cactusrail::RequestStep& step = aAction.step_;
     Trace(aEntry.name_ + " notes " + step.requestId_ + " " + step.step_ + " (" +
--- a/Tests/Unit/StepSegmentsTest.cxx
+++ b/Tests/Unit/StepSegmentsTest.cxx
@@ -60,7 +60,7 @@
   step.requestId_ = "r0";
   journal.Add(step);
   cr_assert(journal.NewSteps() == 0);
-  journal.KeepNew();
+  journal.CollectNew();
   step.requestId_ = "r1";
   journal.Add(step);
   constexpr auto kForever = std::numeric_limits<std::int64_t>::max();
