--- a/Source/Process/CallerCall.h
+++ b/Source/Process/CallerCall.h
@@ -18,7 +18,7 @@
 };
 
 /** Request for the state of a job. */
-struct AskJobState
+struct GetJobState
 {
   std::string job_;
 };
@@ -30,7 +30,7 @@
 
 /** Request for the number of jobs of a queue that wait for their first start.
  */
-struct AskWaiting
+struct GetWaitingCount
 {
   std::string queue_;
 };
@@ -57,7 +57,8 @@
 {
   /** Time after which the caller no longer waits for a reply. */
   Instant deadline_;
-  std::variant<RefuseCall, SubmitJob, AskJobState, CancelJob, AskWaiting> what_;
+  std::variant<RefuseCall, SubmitJob, GetJobState, CancelJob, GetWaitingCount>
+    what_;
 };
 
 /** Outcome of a caller's request. */
--- a/Source/Process/Confirmation.cxx
+++ b/Source/Process/Confirmation.cxx
@@ -21,7 +21,7 @@
 }
 
 std::span<const CommandOption>
-ChoiceOptions()
+SelectorOptions()
 {
   static const std::array<CommandOption, 2> kOptions{ {
     { "yes", "", "act without a question if the selector chose several" },
@@ -30,10 +30,10 @@
   return kOptions;
 }
 
-ChoiceDecision
-ConfirmChoice(const CommandLine& aLine,
-              std::string_view aVerb,
-              std::span<const std::string> aMatches)
+SelectionDecision
+ConfirmSelection(const CommandLine& aLine,
+                 std::string_view aVerb,
+                 std::span<const std::string> aMatches)
 {
   const bool dryRun = aLine.Given("dry-run");
   const bool yes = aLine.Given("yes");
@@ -43,11 +43,11 @@
       (dryRun ? std::cout : std::cerr) << name << '\n';
     }
   }
-  const ChoiceDecision decision =
-    DecideChoice(aMatches.size(), dryRun, yes, terminal, [&] {
+  const SelectionDecision decision =
+    DecideSelection(aMatches.size(), dryRun, yes, terminal, [&] {
       return AskOnTerminal(aVerb, aMatches.size());
     });
-  if (decision == ChoiceDecision::Refuse) {
+  if (decision == SelectionDecision::Refuse) {
     std::cerr << "Nothing was done: the selector matched " << aMatches.size()
               << "; add --yes to " << aVerb << " them all.\n";
   }
--- a/Source/Process/Confirmation.h
+++ b/Source/Process/Confirmation.h
@@ -11,10 +11,10 @@
 
 /** Returns the options --yes and --dry-run of commands with a selector. */
 std::span<const CommandOption>
-ChoiceOptions();
+SelectorOptions();
 
 /** Whether a command acts on the objects that its selector matched. */
-enum class ChoiceDecision : std::uint8_t
+enum class SelectionDecision : std::uint8_t
 {
   Act,
   /** --dry-run: print the matched objects and do nothing. */
@@ -29,20 +29,21 @@
  * Calls aConfirm only if a terminal is available and a confirmation is needed.
  */
 template<typename Ask>
-ChoiceDecision
-DecideChoice(std::size_t aMatches,
-             bool aDryRun,
-             bool aYes,
-             bool aTerminal,
-             const Ask& aConfirm)
+SelectionDecision
+DecideSelection(std::size_t aMatches,
+                bool aDryRun,
+                bool aYes,
+                bool aTerminal,
+                const Ask& aConfirm)
 {
   if (aDryRun) {
-    return ChoiceDecision::OnlyShow;
+    return SelectionDecision::OnlyShow;
   }
   if (aMatches <= 1 || aYes) {
-    return ChoiceDecision::Act;
+    return SelectionDecision::Act;
   }
-  return aTerminal && aConfirm() ? ChoiceDecision::Act : ChoiceDecision::Refuse;
+  return aTerminal && aConfirm() ? SelectionDecision::Act
+                                 : SelectionDecision::Refuse;
 }
 
 /**
@@ -50,9 +51,9 @@
  * and prints the reason of a refusal to stderr. aVerb is a verb such as
  * "drain".
  */
-ChoiceDecision
-ConfirmChoice(const CommandLine& aLine,
-              std::string_view aVerb,
-              std::span<const std::string> aMatches);
+SelectionDecision
+ConfirmSelection(const CommandLine& aLine,
+                 std::string_view aVerb,
+                 std::span<const std::string> aMatches);
 
 }
--- a/Source/Process/EntryProcess.cxx
+++ b/Source/Process/EntryProcess.cxx
@@ -247,7 +247,7 @@
 EntryProcess::Private::CheckStopped()
 {
   const Instant now = ReadMonotonicClock();
-  if (listening_ && !notice_.TakesConnections(now)) {
+  if (listening_ && !notice_.AcceptsConnections(now)) {
     listening_ = false;
     for (const std::unique_ptr<Lane>& lane : lanes_) {
       lane->StopListening();
--- a/Source/Process/FleetEntry.h
+++ b/Source/Process/FleetEntry.h
@@ -704,7 +704,7 @@
     }
   }
 
-  void Serve(const AskJobState& aCall, Instant, const Answer& aAnswer)
+  void Serve(const GetJobState& aCall, Instant, const Answer& aAnswer)
   {
     const std::string job = aCall.job_;
     AskLeader(
@@ -783,7 +783,7 @@
       });
   }
 
-  void Serve(const AskWaiting& aCall, Instant, const Answer& aAnswer)
+  void Serve(const GetWaitingCount& aCall, Instant, const Answer& aAnswer)
   {
     AskLeader(FleetRequestKind::Waiting,
               aCall.queue_,
@@ -807,7 +807,7 @@
   void CheckStopped()
   {
     const Instant now = ReadMonotonicClock();
-    if (notice_.TakesConnections(now)) {
+    if (notice_.AcceptsConnections(now)) {
       return;
     }
     if (callers_->Listening()) {
--- a/Source/Process/FleetSide.h
+++ b/Source/Process/FleetSide.h
@@ -366,7 +366,7 @@
    * duration to the keeper. */
   void DetectSuspension(Instant aNow)
   {
-    const Micros offset = aNow - ReadRunningClock();
+    const Micros offset = aNow - ReadSteadyClock();
     const auto gap = std::chrono::duration_cast<Millis>(offset - clockOffset_);
     if (clockOffsetKnown_ && gap > kSuspensionThreshold) {
       LogChange("host-suspended", { { "ms", std::to_string(gap.count()) } });
--- a/Source/Process/Instant.h
+++ b/Source/Process/Instant.h
@@ -45,7 +45,7 @@
 
 /** Reads the clock that stops while the host is suspended. */
 inline Instant
-ReadRunningClock()
+ReadSteadyClock()
 {
   return Instant(std::chrono::duration_cast<Micros>(
     std::chrono::steady_clock::now().time_since_epoch()));
--- a/Source/Process/RoleCommands.cxx
+++ b/Source/Process/RoleCommands.cxx
@@ -80,7 +80,7 @@
     }
     process->Stop([] { QCoreApplication::quit(); });
   });
-  QObject::connect(&signal, &StopSignal::ReloadAsked, &signal, [&path] {
+  QObject::connect(&signal, &StopSignal::ReloadRequested, &signal, [&path] {
     ReloadKeys<Settings>(path);
   });
   QTimer flush;
--- a/Source/Process/RoleRunner.h
+++ b/Source/Process/RoleRunner.h
@@ -55,7 +55,7 @@
     }
     process->Stop([] { QCoreApplication::quit(); });
   });
-  QObject::connect(&signal, &StopSignal::ReloadAsked, &signal, [&path] {
+  QObject::connect(&signal, &StopSignal::ReloadRequested, &signal, [&path] {
     const Result<Settings> again = Settings::Load(path);
     if (const auto* failure = std::get_if<Failure>(&again)) {
       LogProblem("settings-not-reloaded", { { "reason", failure->message_ } });
--- a/Source/Process/StopNotice.cxx
+++ b/Source/Process/StopNotice.cxx
@@ -37,7 +37,7 @@
 }
 
 bool
-StopNotice::TakesConnections(Instant aNow) const
+StopNotice::AcceptsConnections(Instant aNow) const
 {
   if (!begun_ || aNow < minEnd_) {
     return true;
--- a/Source/Process/StopNotice.h
+++ b/Source/Process/StopNotice.h
@@ -23,7 +23,7 @@
   void OnAsked(bool aReportedReady, Instant aNow);
 
   /** Returns whether new connections are still accepted. */
-  bool TakesConnections(Instant aNow) const;
+  bool AcceptsConnections(Instant aNow) const;
 
 private:
   bool begun_ = false;
--- a/Source/Process/StopSignal.cxx
+++ b/Source/Process/StopSignal.cxx
@@ -50,7 +50,7 @@
     char byte = 0;
     while (::read(private_->descriptors_[1], &byte, sizeof(byte)) == 1) {
       if (byte == kReload) {
-        Q_EMIT ReloadAsked();
+        Q_EMIT ReloadRequested();
         continue;
       }
       ++private_->count_;
--- a/Source/Process/StopSignal.h
+++ b/Source/Process/StopSignal.h
@@ -23,7 +23,7 @@
   /** Emitted for each stop signal; aCount is 1 for the first one. */
   void Arrived(int aCount);
   /** Emitted on SIGHUP, to reload settings that need no restart. */
-  void ReloadAsked();
+  void ReloadRequested();
 
 private:
   class Private;
--- a/Source/Process/WorkCommands.cxx
+++ b/Source/Process/WorkCommands.cxx
@@ -303,12 +303,12 @@
     std::cerr << "The selector matches no job that is still open.\n";
     return ExitCode::NotFound;
   }
-  switch (ConfirmChoice(aLine, aVerb, chosen)) {
-    case ChoiceDecision::OnlyShow:
+  switch (ConfirmSelection(aLine, aVerb, chosen)) {
+    case SelectionDecision::OnlyShow:
       return ExitCode::Done;
-    case ChoiceDecision::Refuse:
+    case SelectionDecision::Refuse:
       return ExitCode::Refused;
-    case ChoiceDecision::Act:
+    case SelectionDecision::Act:
       break;
   }
   VerbRequest request;
@@ -327,8 +327,8 @@
                 const std::string& aVerb,
                 const std::string& aSummary)
 {
-  std::vector<CommandOption> options(ChoiceOptions().begin(),
-                                     ChoiceOptions().end());
+  std::vector<CommandOption> options(SelectorOptions().begin(),
+                                     SelectorOptions().end());
   options.push_back({ "operation",
                       "ID",
                       "a name for this operation; a repeat under the same name "
--- a/Tests/Fleet/ProcessFleet.cxx
+++ b/Tests/Fleet/ProcessFleet.cxx
@@ -88,7 +88,7 @@
   }
   const std::string id = aExchange.Path().substr(kQueue.size());
   if (aExchange.Method() == "GET") {
-    call.what_ = AskJobState{ id };
+    call.what_ = GetJobState{ id };
   } else if (aExchange.Method() == "DELETE") {
     call.what_ = CancelJob{ id };
   } else {
--- a/Tests/Unit/CommandTableTest.cxx
+++ b/Tests/Unit/CommandTableTest.cxx
@@ -95,13 +95,18 @@
 {
   const auto yes = [] { return true; };
   const auto no = [] { return false; };
-  cr_assert(DecideChoice(1, false, false, false, no) == ChoiceDecision::Act);
-  cr_assert(DecideChoice(2, false, false, false, yes) ==
-            ChoiceDecision::Refuse);
-  cr_assert(DecideChoice(2, false, false, true, no) == ChoiceDecision::Refuse);
-  cr_assert(DecideChoice(2, false, false, true, yes) == ChoiceDecision::Act);
-  cr_assert(DecideChoice(2, false, true, false, no) == ChoiceDecision::Act);
-  cr_assert(DecideChoice(2, true, true, true, yes) == ChoiceDecision::OnlyShow);
+  cr_assert(DecideSelection(1, false, false, false, no) ==
+            SelectionDecision::Act);
+  cr_assert(DecideSelection(2, false, false, false, yes) ==
+            SelectionDecision::Refuse);
+  cr_assert(DecideSelection(2, false, false, true, no) ==
+            SelectionDecision::Refuse);
+  cr_assert(DecideSelection(2, false, false, true, yes) ==
+            SelectionDecision::Act);
+  cr_assert(DecideSelection(2, false, true, false, no) ==
+            SelectionDecision::Act);
+  cr_assert(DecideSelection(2, true, true, true, yes) ==
+            SelectionDecision::OnlyShow);
 }
 
 // A word that contains a placeholder of the library's error message made the
--- a/Tests/Unit/StopNoticeTest.cxx
+++ b/Tests/Unit/StopNoticeTest.cxx
@@ -23,12 +23,12 @@
     for (int now = 0; now < 10000; now += 10) {
       if (now % 1000 == phase) {
         cr_assert(notReadyAnswers >= 2 ||
-                  notice.TakesConnections(kStart + Millis(now)));
+                  notice.AcceptsConnections(kStart + Millis(now)));
         notice.OnAsked(false, kStart + Millis(now));
         ++notReadyAnswers;
       }
     }
-    cr_assert_not(notice.TakesConnections(kStart + Millis(10000)));
+    cr_assert_not(notice.AcceptsConnections(kStart + Millis(10000)));
   }
 }
 
@@ -39,11 +39,11 @@
   StopNotice notice;
   notice.OnAsked(true, kStart - Millis(100));
   notice.Begin(kStart, kDeadline);
-  cr_assert(notice.TakesConnections(kStart + Millis(2900)));
+  cr_assert(notice.AcceptsConnections(kStart + Millis(2900)));
   notice.OnAsked(false, kStart + Millis(2900));
-  cr_assert(notice.TakesConnections(kStart + Millis(4000)));
+  cr_assert(notice.AcceptsConnections(kStart + Millis(4000)));
   notice.OnAsked(false, kStart + Millis(4100));
-  cr_assert_not(notice.TakesConnections(kStart + Millis(4100)));
+  cr_assert_not(notice.AcceptsConnections(kStart + Millis(4100)));
 }
 
 // A balancer that is gone or was never installed must not delay a stop, and a
@@ -53,12 +53,12 @@
   StopNotice gone;
   gone.OnAsked(true, kStart - Millis(100));
   gone.Begin(kStart, kDeadline);
-  cr_assert_not(gone.TakesConnections(kStart + Millis(5000)));
+  cr_assert_not(gone.AcceptsConnections(kStart + Millis(5000)));
   StopNotice none;
   none.Begin(kStart, kDeadline);
-  cr_assert(none.TakesConnections(kStart + Millis(2000)));
-  cr_assert_not(none.TakesConnections(kStart + Millis(2500)));
+  cr_assert(none.AcceptsConnections(kStart + Millis(2000)));
+  cr_assert_not(none.AcceptsConnections(kStart + Millis(2500)));
   StopNotice bounded;
   bounded.Begin(kStart, kStart + Millis(1000));
-  cr_assert_not(bounded.TakesConnections(kStart + Millis(1000)));
+  cr_assert_not(bounded.AcceptsConnections(kStart + Millis(1000)));
 }
