--- a/Tests/Golden/WorkWorld.h
+++ b/Tests/Golden/WorkWorld.h
@@ -214,8 +214,8 @@
     facts.cell_ = cactusrail::CellName(worker.row_);
     facts.incarnation_ = worker.row_.incarnation_;
     facts.capacity_ = worker.capacity_;
-    facts.statedCapacity_ = worker.row_.capacity_;
-    facts.checksRoom_ = false;
+    facts.reportedCapacity_ = worker.row_.capacity_;
+    facts.checksCapacity_ = false;
     const std::string processId =
       aId + "#" + std::to_string(facts.incarnation_);
     worker.tasks_ = std::make_unique<WorkerTasks>(
--- a/Tests/StandIns/WorkerStandIn.cxx
+++ b/Tests/StandIns/WorkerStandIn.cxx
@@ -95,7 +95,7 @@
   faultMode_ = aExchange.Query("mode");
   const std::string count = aExchange.Query("count");
   faultCount_ = count.empty() ? ~0ULL : std::stoull(count);
-  tasks_.Options().failEverything_ = faultMode_ == "fail-tasks";
+  tasks_.Options().failsAllTasks_ = faultMode_ == "fail-tasks";
   omitsRunningTasks_ = faultMode_ == "report-less";
   if (faultMode_ == "none") {
     stalled_.clear();
@@ -251,7 +251,7 @@
   if (number("stated-milli-cpus") >= 0) {
     row.capacity_.milliCpus_ = number("stated-milli-cpus");
   }
-  facts.statedCapacity_ = row.capacity_;
+  facts.reportedCapacity_ = row.capacity_;
   facts.checkpointEveryMs_ = number("checkpoint-ms");
   Worker worker(std::move(facts));
   const auto front = cactusrail::HttpFront::Listen(
--- a/Tests/StandIns/WorkerTasks.h
+++ b/Tests/StandIns/WorkerTasks.h
@@ -30,12 +30,12 @@
     std::uint64_t incarnation_ = 0;
     cactusrail::Resources capacity_;
     /** Reported capacity, which may differ from the real one. */
-    cactusrail::Resources statedCapacity_;
+    cactusrail::Resources reportedCapacity_;
     std::int64_t checkpointEveryMs_ = 500;
-    bool failEverything_ = false;
+    bool failsAllTasks_ = false;
     /** Whether starts beyond the capacity are refused. Tests of the entries'
      * guards disable it. */
-    bool checksRoom_ = true;
+    bool checksCapacity_ = true;
   };
 
   WorkerTasks(Facts aFacts, EventHandler aOnEvent)
@@ -57,7 +57,7 @@
       const std::int64_t over = std::min(task->second.until_, aNow);
       TakeCheckpoints(task->first, task->second, over);
       if (task->second.endsAt_ <= over) {
-        const auto result = facts_.failEverything_
+        const auto result = facts_.failsAllTasks_
                               ? cactusrail::EndResult::Failed
                               : cactusrail::EndResult::Completed;
         task = End(task, result);
@@ -92,7 +92,7 @@
     report.incarnation_ = facts_.incarnation_;
     report.clock_ = aNow;
     report.cellEpoch_ = cellEpoch_;
-    report.capacity_ = facts_.statedCapacity_;
+    report.capacity_ = facts_.reportedCapacity_;
     report.used_ = Used();
     for (const auto& [ref, task] : running_) {
       report.running_.push_back({ ref, task.until_, task.checkpoint_ });
@@ -180,7 +180,7 @@
       return "This start, or a later one, was already processed.";
     }
     highest = ref.epoch_;
-    if (facts_.checksRoom_ &&
+    if (facts_.checksCapacity_ &&
         !aCommand.resources_.FitsIn(facts_.capacity_, Used())) {
       ended_[ref] = { ref, cactusrail::EndResult::NeverStarted, {} };
       return "The worker has no free capacity for the task.";
@@ -221,7 +221,7 @@
   std::int64_t RunEnd(const cactusrail::StartCommand& aCommand,
                       std::int64_t aNow) const
   {
-    if (facts_.failEverything_) {
+    if (facts_.failsAllTasks_) {
       return aNow;
     }
     constexpr std::int64_t kForever = std::int64_t(1) << 60;
--- a/Tests/Unit/WorkSessionTest.cxx
+++ b/Tests/Unit/WorkSessionTest.cxx
@@ -122,7 +122,7 @@
   } else if (verb == "reports-less") {
     world_.WorkerOf(name).reportsLess_ = (words >> more, more == "yes");
   } else if (verb == "fails-everything") {
-    world_.WorkerOf(name).tasks_->Options().failEverything_ = true;
+    world_.WorkerOf(name).tasks_->Options().failsAllTasks_ = true;
   } else if (verb == "table") {
     world_.SetTable(name);
   } else if (verb == "lose-table-answers") {
