--- a/Source/Connection/FleetMessages.h
+++ b/Source/Connection/FleetMessages.h
@@ -379,7 +379,7 @@
   /** The write had no effect. */
   NotStored = 3,
   /** Unknown outcome: the write may have taken effect. */
-  InDoubt = 4,
+  OutcomeUnknown = 4,
   /** The entry gave up leadership, because it lacks access to the table or
    * processor time; the recipient, which has both, takes over. Sent in reply to
    * a notification or a hello, with id_ 0. */
--- a/Source/Connection/RowStore.h
+++ b/Source/Connection/RowStore.h
@@ -67,12 +67,12 @@
   NotDone,
   /** Unknown outcome: without a response, the write may have been applied or
    * may still be applied seconds later. */
-  Doubt,
+  UnknownOutcome,
 };
 
 struct Commit
 {
-  CommitOutcome outcome_ = CommitOutcome::Doubt;
+  CommitOutcome outcome_ = CommitOutcome::UnknownOutcome;
   /** New version of the changed rows. */
   std::uint64_t version_ = 0;
 };
--- a/Source/Process/CallerCall.cxx
+++ b/Source/Process/CallerCall.cxx
@@ -35,7 +35,7 @@
     case CallerOutcome::State:
     case CallerOutcome::Waiting:
       return Verdict::Ran;
-    case CallerOutcome::InDoubt:
+    case CallerOutcome::OutcomeUnknown:
       return Verdict::MayHaveRun;
     case CallerOutcome::NoSuchJob:
     case CallerOutcome::NoSuchQueue:
--- a/Source/Process/CallerCall.h
+++ b/Source/Process/CallerCall.h
@@ -74,7 +74,7 @@
   /** The request had no effect; the caller may retry later. */
   TryLater,
   /** Unknown outcome: the request may have taken effect. */
-  InDoubt,
+  OutcomeUnknown,
 };
 
 struct CallerReply
--- a/Source/Process/EntryProcess.cxx
+++ b/Source/Process/EntryProcess.cxx
@@ -222,7 +222,7 @@
   });
   routes_.Add("GET", "/readyz", [this](const HttpExchange& aExchange) {
     const bool ready = !stopping_ && configuration_.Current()->version_ > 0;
-    notice_.OnAsked(ready, ReadMonotonicClock());
+    notice_.OnHealthCheck(ready, ReadMonotonicClock());
     HttpAnswer answer;
     answer.status_ = ready ? 200 : 503;
     answer.body_ = ready ? "{\"ready\":true}\n" : "{\"ready\":false}\n";
--- a/Source/Process/FleetEntry.h
+++ b/Source/Process/FleetEntry.h
@@ -419,7 +419,7 @@
       aAnswer(Outcome(aOutcome == IntakeOutcome::Stored ? FleetOutcome::Ok
                       : aOutcome == IntakeOutcome::NotStored
                         ? FleetOutcome::NotStored
-                        : FleetOutcome::InDoubt));
+                        : FleetOutcome::OutcomeUnknown));
     };
     if (aAsk.question_ == FleetRequestKind::StoreCancel) {
       intake_.StoreCancel(aAsk.subject_, deadline, answer);
@@ -501,7 +501,7 @@
     answer.body_ = "{}";
     if (Platform::AsksReadiness(aExchange)) {
       const bool ready = IsReady();
-      notice_.OnAsked(ready, ReadMonotonicClock());
+      notice_.OnHealthCheck(ready, ReadMonotonicClock());
       answer.status_ = ready ? 200 : 503;
     } else {
       answer.status_ = 404;
@@ -620,8 +620,8 @@
           NotifyLeader(
             FleetRequestKind::JobStored, spec.id_, EncodeRecord(spec));
           aAnswer(ReplyOf(CallerOutcome::Stored));
-        } else if (aOutcome == IntakeOutcome::InDoubt) {
-          aAnswer(ReplyOf(CallerOutcome::InDoubt,
+        } else if (aOutcome == IntakeOutcome::OutcomeUnknown) {
+          aAnswer(ReplyOf(CallerOutcome::OutcomeUnknown,
                           "The table service did not answer in time; query the "
                           "job's state."));
         } else if (leadership_ == nullptr && leaderLink_.Usable()) {
@@ -643,23 +643,24 @@
     const Millis left =
       std::chrono::duration_cast<Millis>(aDeadline - kAnswerMargin - now);
     const std::string record = aRecord;
-    AskLeader(
-      aQuestion,
-      aJob,
-      std::move(aRecord),
-      std::clamp(left, kAskTimeout, kStoreTimeout),
-      [this, aQuestion, aJob, record, aDeadline, aAnswer](
-        const std::optional<FleetResponseMessage>& aReply) {
-        if (!aReply.has_value() || aReply->outcome_ == FleetOutcome::InDoubt) {
-          // The outcome is unknown; repeating the write resolves it.
-          RetryUnknownStore(aQuestion, aJob, record, aDeadline, aAnswer);
-        } else if (aReply->outcome_ == FleetOutcome::Ok) {
-          aAnswer(ReplyOf(CallerOutcome::Stored));
-        } else {
-          aAnswer(ReplyTryLater(
-            "The table service accepts no writes now; retry later."));
-        }
-      });
+    AskLeader(aQuestion,
+              aJob,
+              std::move(aRecord),
+              std::clamp(left, kAskTimeout, kStoreTimeout),
+              [this, aQuestion, aJob, record, aDeadline, aAnswer](
+                const std::optional<FleetResponseMessage>& aReply) {
+                if (!aReply.has_value() ||
+                    aReply->outcome_ == FleetOutcome::OutcomeUnknown) {
+                  // The outcome is unknown; repeating the write resolves it.
+                  RetryUnknownStore(
+                    aQuestion, aJob, record, aDeadline, aAnswer);
+                } else if (aReply->outcome_ == FleetOutcome::Ok) {
+                  aAnswer(ReplyOf(CallerOutcome::Stored));
+                } else {
+                  aAnswer(ReplyTryLater(
+                    "The table service accepts no writes now; retry later."));
+                }
+              });
   }
 
   /** Repeats a write that may already be stored. Never answers that it is not
@@ -693,7 +694,7 @@
         return;
       }
       aAnswer(ReplyOf(
-        CallerOutcome::InDoubt,
+        CallerOutcome::OutcomeUnknown,
         "The table service did not answer in time; query the job's state."));
     };
     const Result<JobDescription> spec = DecodeRecord<JobDescription>(aRecord);
@@ -769,8 +770,8 @@
         if (aOutcome == IntakeOutcome::Stored) {
           NotifyLeader(FleetRequestKind::CancelStored, aJob, {});
           aAnswer(ReplyOf(CallerOutcome::Stored));
-        } else if (aOutcome == IntakeOutcome::InDoubt) {
-          aAnswer(ReplyOf(CallerOutcome::InDoubt,
+        } else if (aOutcome == IntakeOutcome::OutcomeUnknown) {
+          aAnswer(ReplyOf(CallerOutcome::OutcomeUnknown,
                           "The table service did not answer in time; query the "
                           "job's state."));
         } else if (leadership_ == nullptr && leaderLink_.Usable()) {
--- a/Source/Process/JobIntake.h
+++ b/Source/Process/JobIntake.h
@@ -28,7 +28,7 @@
   NotStored,
   /** The outcome is unknown: the write may have taken effect, or may take
    * effect seconds later. */
-  InDoubt,
+  OutcomeUnknown,
 };
 
 /**
@@ -155,11 +155,12 @@
         continue;
       }
       pending.unknownOutcome_ =
-        pending.unknownOutcome_ || aCommit.outcome_ == CommitOutcome::Doubt;
+        pending.unknownOutcome_ ||
+        aCommit.outcome_ == CommitOutcome::UnknownOutcome;
       if (!pending.unknownOutcome_) {
         pending.callback_(IntakeOutcome::NotStored);
       } else if (now + kRetryInterval >= pending.deadline_) {
-        pending.callback_(IntakeOutcome::InDoubt);
+        pending.callback_(IntakeOutcome::OutcomeUnknown);
       } else {
         part.waiting_.push_front(std::move(pending));
         retry = true;
--- a/Source/Process/LeaseRunner.h
+++ b/Source/Process/LeaseRunner.h
@@ -147,7 +147,7 @@
       case CommitOutcome::NotDone:
         lease_.OnNotWritten(now);
         break;
-      case CommitOutcome::Doubt:
+      case CommitOutcome::UnknownOutcome:
         lease_.OnUnknownOutcome(now);
         break;
     }
--- a/Source/Process/ProgressWriter.h
+++ b/Source/Process/ProgressWriter.h
@@ -159,7 +159,7 @@
         // has written the head row.
         ReadHead();
         return;
-      case CommitOutcome::Doubt:
+      case CommitOutcome::UnknownOutcome:
         RetryLater(&ProgressWriter::ReadHead);
         return;
     }
--- a/Source/Process/StopNotice.cxx
+++ b/Source/Process/StopNotice.cxx
@@ -30,7 +30,7 @@
 }
 
 void
-StopNotice::OnAsked(bool aReportedReady, Instant aNow)
+StopNotice::OnHealthCheck(bool aReportedReady, Instant aNow)
 {
   lastHealthCheck_ = aNow;
   notReadyAnswers_ += begun_ && !aReportedReady ? 1 : 0;
--- a/Source/Process/StopNotice.h
+++ b/Source/Process/StopNotice.h
@@ -20,7 +20,7 @@
   void Begin(Instant aNow, Instant aDeadline);
 
   /** Records a health check of the balancer and the readiness it reported. */
-  void OnAsked(bool aReportedReady, Instant aNow);
+  void OnHealthCheck(bool aReportedReady, Instant aNow);
 
   /** Returns whether new connections are still accepted. */
   bool AcceptsConnections(Instant aNow) const;
--- a/Source/Process/WorkerKeeper.cxx
+++ b/Source/Process/WorkerKeeper.cxx
@@ -624,13 +624,14 @@
       run.answeredAt_ = aNow;
       deferredReportDue_ = true;
       return;
-    case CallOutcome::Doubt:
+    case CallOutcome::UnknownOutcome:
     case CallOutcome::Fenced:
     case CallOutcome::LeaseExpired:
     case CallOutcome::WrongIncarnation:
       // The start is retried; the next hold detects a wrong incarnation.
       run.startOutcomeUnknown_ =
-        run.startOutcomeUnknown_ || aAnswer.outcome_ == CallOutcome::Doubt;
+        run.startOutcomeUnknown_ ||
+        aAnswer.outcome_ == CallOutcome::UnknownOutcome;
       // The delay counts from the time of the call, so that a worker that
       // closes each connection at once is not called again at once.
       run.nextCallAt_ = std::max(aNow, aCall.sentAt_ + kOrderRetry);
--- a/Source/Process/WorkerKeeper.h
+++ b/Source/Process/WorkerKeeper.h
@@ -86,13 +86,13 @@
   WrongIncarnation,
   /** No answer; the worker may have executed the call or may execute it seconds
    * later. */
-  Doubt,
+  UnknownOutcome,
 };
 
 /** Answer of a worker to a call of any type. */
 struct CallAnswer
 {
-  CallOutcome outcome_ = CallOutcome::Doubt;
+  CallOutcome outcome_ = CallOutcome::UnknownOutcome;
   /** Clock of the worker at the time of the answer; std::nullopt without an
    * answer. */
   std::optional<std::int64_t> clockMs_;
--- a/Tests/Fleet/MemoryStore.cxx
+++ b/Tests/Fleet/MemoryStore.cxx
@@ -112,7 +112,7 @@
     commit = tables.Apply(aTransaction);
   }
   if (tables.losesAnswers_) {
-    commit = { CommitOutcome::Doubt, 0 };
+    commit = { CommitOutcome::UnknownOutcome, 0 };
     after =
       std::chrono::duration_cast<Millis>(aDeadline - ReadMonotonicClock());
   }
--- a/Tests/Fleet/ProcessFleet.cxx
+++ b/Tests/Fleet/ProcessFleet.cxx
@@ -123,7 +123,7 @@
     case CallerOutcome::TryLater:
       answer.status_ = 503;
       break;
-    case CallerOutcome::InDoubt:
+    case CallerOutcome::OutcomeUnknown:
       answer.status_ = 504;
       break;
   }
--- a/Tests/Fleet/WorkerKeeperTest.cxx
+++ b/Tests/Fleet/WorkerKeeperTest.cxx
@@ -439,7 +439,7 @@
          CallsOf<StartCall>(fixture.keeper_.TakeCalls(At(now)))) {
       ++starts;
       CallAnswer none;
-      none.outcome_ = CallOutcome::Doubt;
+      none.outcome_ = CallOutcome::UnknownOutcome;
       fixture.keeper_.OnAnswer(start.head_.id_, none, At(now));
     }
   }
--- a/Tests/Unit/StopNoticeTest.cxx
+++ b/Tests/Unit/StopNoticeTest.cxx
@@ -17,14 +17,14 @@
 {
   for (int phase = 0; phase < 1000; phase += 50) {
     StopNotice notice;
-    notice.OnAsked(true, kStart - Millis(1000 - phase));
+    notice.OnHealthCheck(true, kStart - Millis(1000 - phase));
     notice.Begin(kStart, kDeadline);
     int notReadyAnswers = 0;
     for (int now = 0; now < 10000; now += 10) {
       if (now % 1000 == phase) {
         cr_assert(notReadyAnswers >= 2 ||
                   notice.AcceptsConnections(kStart + Millis(now)));
-        notice.OnAsked(false, kStart + Millis(now));
+        notice.OnHealthCheck(false, kStart + Millis(now));
         ++notReadyAnswers;
       }
     }
@@ -37,12 +37,12 @@
 Test(StopNotice, LateHealthChecksAreAwaited)
 {
   StopNotice notice;
-  notice.OnAsked(true, kStart - Millis(100));
+  notice.OnHealthCheck(true, kStart - Millis(100));
   notice.Begin(kStart, kDeadline);
   cr_assert(notice.AcceptsConnections(kStart + Millis(2900)));
-  notice.OnAsked(false, kStart + Millis(2900));
+  notice.OnHealthCheck(false, kStart + Millis(2900));
   cr_assert(notice.AcceptsConnections(kStart + Millis(4000)));
-  notice.OnAsked(false, kStart + Millis(4100));
+  notice.OnHealthCheck(false, kStart + Millis(4100));
   cr_assert_not(notice.AcceptsConnections(kStart + Millis(4100)));
 }
 
@@ -51,7 +51,7 @@
 Test(StopNotice, WaitForTheBalancerIsBounded)
 {
   StopNotice gone;
-  gone.OnAsked(true, kStart - Millis(100));
+  gone.OnHealthCheck(true, kStart - Millis(100));
   gone.Begin(kStart, kDeadline);
   cr_assert_not(gone.AcceptsConnections(kStart + Millis(5000)));
   StopNotice none;
