--- a/Source/Connection/DatagramSeal.cxx
+++ b/Source/Connection/DatagramCodec.cxx
@@ -1,4 +1,4 @@
-#include "Connection/DatagramSeal.h"
+#include "Connection/DatagramCodec.h"
 
 #include "Connection/Codec.h"
 #include "Connection/FrameSigner.h"
--- a/Source/Process/ExplainCommand.cxx
+++ b/Source/Process/ExplainCommand.cxx
@@ -6,7 +6,7 @@
 #include "Request/ExplainVerdict.h"
 #include "Request/RequestStep.h"
 #include "Version/JsonText.h"
-#include "Version/TaskStanding.h"
+#include "Version/RecordedTaskStep.h"
 
 #include <QDateTime>
 #include <QUrl>
--- a/Source/Process/FleetEntry.h
+++ b/Source/Process/FleetEntry.h
@@ -3,7 +3,7 @@
 #include "Connection/HttpFront.h"
 #include "Connection/RowStore.h"
 #include "Process/CallerCall.h"
-#include "Process/FleetLead.h"
+#include "Process/FleetLeader.h"
 #include "Process/FleetRecords.h"
 #include "Process/FleetSettings.h"
 #include "Process/JobIntake.h"
--- a/Source/Process/FleetScheduler.h
+++ b/Source/Process/FleetScheduler.h
@@ -6,10 +6,10 @@
 #include "Process/FleetTimings.h"
 #include "Process/FleetWorker.h"
 #include "Process/JobOrder.h"
+#include "Process/LongRunningLimit.h"
 #include "Process/PlacementMisses.h"
-#include "Process/RoomReservations.h"
-#include "Process/StandingRoom.h"
 #include "Process/WorkerChoice.h"
+#include "Process/WorkerReservations.h"
 #include "Version/DurationModel.h"
 #include "Version/WorkerHealth.h"
 
--- a/Source/Process/StandingRoom.cxx
+++ b/Source/Process/LongRunningLimit.cxx
@@ -1,4 +1,4 @@
-#include "Process/StandingRoom.h"
+#include "Process/LongRunningLimit.h"
 
 #include <algorithm>
 #include <cmath>
--- a/Source/Process/MembershipListener.cxx
+++ b/Source/Process/MembershipListener.cxx
@@ -1,7 +1,7 @@
 #include "Process/MembershipListener.h"
 
 #include "Connection/Codec.h"
-#include "Connection/DatagramSeal.h"
+#include "Connection/DatagramCodec.h"
 #include "Process/Log.h"
 
 #include <QUdpSocket>
--- a/Source/Process/SideProcess.cxx
+++ b/Source/Process/SideProcess.cxx
@@ -1,7 +1,7 @@
 #include "Process/SideProcess.h"
 
 #include "Connection/Codec.h"
-#include "Connection/DatagramSeal.h"
+#include "Connection/DatagramCodec.h"
 #include "Connection/HttpCaller.h"
 #include "Connection/HttpFront.h"
 #include "Connection/SideLink.h"
--- a/Source/Process/WorkPages.cxx
+++ b/Source/Process/WorkPages.cxx
@@ -8,8 +8,8 @@
 #include "Process/Scheduler.h"
 #include "Version/JobSummary.h"
 #include "Version/JsonText.h"
+#include "Version/RecordedTaskStep.h"
 #include "Version/Selector.h"
-#include "Version/TaskStanding.h"
 #include "Version/WorkVerbs.h"
 
 #include <QUrl>
--- a/Source/Process/RoomReservations.cxx
+++ b/Source/Process/WorkerReservations.cxx
@@ -1,4 +1,4 @@
-#include "Process/RoomReservations.h"
+#include "Process/WorkerReservations.h"
 
 #include <algorithm>
 
--- a/Source/Version/TaskStanding.cxx
+++ b/Source/Version/RecordedTaskStep.cxx
@@ -1,4 +1,4 @@
-#include "Version/TaskStanding.h"
+#include "Version/RecordedTaskStep.h"
 
 #include "Version/JobLedger.h"
 
--- a/Source/Version/ReturnPacing.cxx
+++ b/Source/Version/RecoveryRateLimiter.cxx
@@ -1,4 +1,4 @@
-#include "Version/ReturnPacing.h"
+#include "Version/RecoveryRateLimiter.h"
 
 #include <algorithm>
 #include <cmath>
--- a/Tests/Fleet/StandingRoomTest.cxx
+++ b/Tests/Fleet/LongRunningLimitTest.cxx
@@ -1,6 +1,6 @@
 #include "FleetWorld.h"
 
-#include "Process/StandingRoom.h"
+#include "Process/LongRunningLimit.h"
 
 #include <criterion/criterion.h>
 
--- a/Tests/Golden/WorkWorld.h
+++ b/Tests/Golden/WorkWorld.h
@@ -4,7 +4,7 @@
 #include "Process/SchedulerCore.h"
 #include "Version/JobLedger.h"
 #include "Version/JsonText.h"
-#include "Version/TaskStanding.h"
+#include "Version/RecordedTaskStep.h"
 #include "Version/WorkVerbs.h"
 
 #include <algorithm>
--- a/Tests/Unit/LinkSessionTest.cxx
+++ b/Tests/Unit/LinkSessionTest.cxx
@@ -1,6 +1,6 @@
 #include "Connection/LinkSession.h"
 #include "Connection/Codec.h"
-#include "Connection/DatagramSeal.h"
+#include "Connection/DatagramCodec.h"
 
 #include <criterion/criterion.h>
 
--- a/Tests/Unit/WorkerHealthTest.cxx
+++ b/Tests/Unit/WorkerHealthTest.cxx
@@ -1,5 +1,5 @@
 #include "Version/WorkerHealth.h"
-#include "Version/ReturnPacing.h"
+#include "Version/RecoveryRateLimiter.h"
 #include "Version/UsageEstimate.h"
 
 #include <criterion/criterion.h>
