--- a/Source/Version/CellLease.cxx
+++ b/Source/Version/CellLease.cxx
@@ -7,8 +7,8 @@
 
 namespace {
 
-constexpr Millis kFirstPause{ 250 };
-constexpr std::uint32_t kMaxPauseDoublings = 4;
+constexpr Millis kInitialBackoff{ 250 };
+constexpr std::uint32_t kMaxBackoffDoublings = 4;
 
 }
 
@@ -84,13 +84,15 @@
 }
 
 void
-CellLease::Adopt(const CellRow& aRow, std::uint64_t aRevision, Instant aNow)
+CellLease::ReplaceRow(const CellRow& aRow,
+                      std::uint64_t aRevision,
+                      Instant aNow)
 {
   row_ = aRow;
   revision_ = aRevision;
   seen_ = true;
   unchangedSince_ = aNow;
-  doubtful_.clear();
+  unresolvedWrites_.clear();
 }
 
 void
@@ -104,17 +106,17 @@
   if (aRevision < revision_) {
     return;
   }
-  Adopt(aRow, aRevision, aNow);
+  ReplaceRow(aRow, aRevision, aNow);
   owned_ = IsMine(aRow);
   deadline_ = aSentAt + timings_.cellLease_;
 }
 
 void
-CellLease::PauseWrites(Instant aNow)
+CellLease::BackOffWrites(Instant aNow)
 {
   writing_ = false;
-  const std::uint32_t doublings = std::min(failures_, kMaxPauseDoublings);
-  writeAfter_ = aNow + kFirstPause * (1U << doublings);
+  const std::uint32_t doublings = std::min(failures_, kMaxBackoffDoublings);
+  writeAfter_ = aNow + kInitialBackoff * (1U << doublings);
   beatDueAt_ = aNow;
   ++failures_;
 }
@@ -129,20 +131,20 @@
 void
 CellLease::WriteFailed(Instant aNow)
 {
-  PauseWrites(aNow);
+  BackOffWrites(aNow);
 }
 
 void
 CellLease::WriteDoubtful(const CellRow& aRow, Instant aSentAt, Instant aNow)
 {
-  PauseWrites(aNow);
+  BackOffWrites(aNow);
   if (IsMine(row_) && row_.beat_ == aRow.beat_) {
     // A read returned the written row before the write timed out.
     owned_ = true;
     deadline_ = aSentAt + timings_.cellLease_;
     return;
   }
-  doubtful_.push_back({ aRow.beat_, aSentAt });
+  unresolvedWrites_.push_back({ aRow.beat_, aSentAt });
 }
 
 bool
@@ -159,7 +161,7 @@
     return false;
   }
   const bool mine = IsMine(aRow);
-  for (const DoubtfulWrite& write : doubtful_) {
+  for (const UnresolvedWrite& write : unresolvedWrites_) {
     if (mine && write.beat_ == aRow.beat_) {
       deadline_ = write.sentAt_ + timings_.cellLease_;
     }
@@ -167,7 +169,7 @@
   // Only a write of this incarnation makes it the owner. A row written by
   // another incarnation of the same name, or a restored row, does not.
   owned_ = mine && (owned_ || InDoubt());
-  Adopt(aRow, aRevision, aNow);
+  ReplaceRow(aRow, aRevision, aNow);
   return true;
 }
 
--- a/Source/Version/CellLease.h
+++ b/Source/Version/CellLease.h
@@ -54,7 +54,7 @@
 
   /** Whether a write has an unknown outcome: no answer was received and the
    * write may still apply. */
-  bool InDoubt() const { return !doubtful_.empty(); }
+  bool InDoubt() const { return !unresolvedWrites_.empty(); }
 
   /** Whether the row must be written to renew the lease. */
   bool BeatDue(Instant aNow) const;
@@ -94,15 +94,15 @@
   void Fenced(Instant aNow);
 
 private:
-  struct DoubtfulWrite
+  struct UnresolvedWrite
   {
     std::uint64_t beat_ = 0;
     Instant sentAt_;
   };
 
   bool IsMine(const CellRow& aRow) const;
-  void Adopt(const CellRow& aRow, std::uint64_t aRevision, Instant aNow);
-  void PauseWrites(Instant aNow);
+  void ReplaceRow(const CellRow& aRow, std::uint64_t aRevision, Instant aNow);
+  void BackOffWrites(Instant aNow);
 
   EntryIdentity self_;
   WorkTimings timings_;
@@ -117,7 +117,7 @@
   Instant writeAfter_;
   std::uint32_t failures_ = 0;
   std::uint64_t nextBeat_ = 1;
-  std::vector<DoubtfulWrite> doubtful_;
+  std::vector<UnresolvedWrite> unresolvedWrites_;
 };
 
 }
--- a/Source/Version/CellLedger.cxx
+++ b/Source/Version/CellLedger.cxx
@@ -11,7 +11,7 @@
 }
 
 Resources
-CellLedger::Taken(std::string_view aWorkerId) const
+CellLedger::ReservedOn(std::string_view aWorkerId) const
 {
   Resources taken;
   for (const Reservation& reservation : row_.reservations_) {
@@ -29,7 +29,7 @@
   // has an unknown outcome. If only running tasks counted, two placements could
   // overcommit a worker.
   if (!aReservation.resources_.FitsIn(aCapacity,
-                                      Taken(aReservation.workerId_))) {
+                                      ReservedOn(aReservation.workerId_))) {
     return false;
   }
   const bool held = std::any_of(row_.reservations_.begin(),
--- a/Source/Version/CellLedger.h
+++ b/Source/Version/CellLedger.h
@@ -21,7 +21,7 @@
   CellRow& Row() { return row_; }
 
   /** Returns the sum of all reservations on a worker. */
-  Resources Taken(std::string_view aWorkerId) const;
+  Resources ReservedOn(std::string_view aWorkerId) const;
 
   /** Adds the reservation if it fits and its task has no reservation yet.
    * Returns whether it was added. */
--- a/Source/Version/Configuration.cxx
+++ b/Source/Version/Configuration.cxx
@@ -37,7 +37,7 @@
 
 /** Returns the first validation error; empty if the configuration is valid. */
 std::string
-FindFault(const Configuration& aConfiguration)
+FindValidationError(const Configuration& aConfiguration)
 {
   std::set<std::string_view> tenants;
   for (const TenantConfig& tenant : aConfiguration.tenants_) {
@@ -105,9 +105,9 @@
   if (configuration == nullptr) {
     return parsed;
   }
-  std::string fault = FindFault(*configuration);
-  if (!fault.empty()) {
-    return Invalid(std::move(fault));
+  std::string error = FindValidationError(*configuration);
+  if (!error.empty()) {
+    return Invalid(std::move(error));
   }
   return parsed;
 }
--- a/Source/Version/ConfigurationVersion.cxx
+++ b/Source/Version/ConfigurationVersion.cxx
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr Millis kReadEvery{ 1000 };
+constexpr Millis kReadInterval{ 1000 };
 /** Timeout of an operator's change. */
-constexpr Millis kChangeBound{ 8000 };
+constexpr Millis kChangeTimeout{ 8000 };
 /** Delay before a failed write of a change is retried. */
-constexpr Millis kRewriteAfter{ 500 };
+constexpr Millis kRewriteDelay{ 500 };
 /** Minimum interval between write-backs to a stale table. */
-constexpr Millis kWriteBackEvery{ 5000 };
+constexpr Millis kWriteBackInterval{ 5000 };
 /** Time after which a version that no peer reports any more is ignored. */
-constexpr Millis kBelievePeers{ 10000 };
+constexpr Millis kPeerVersionTimeout{ 10000 };
 
 constexpr int kBadRequest = 400;
 constexpr int kConflict = 409;
@@ -63,16 +63,16 @@
 {
 public:
   std::uint64_t Held() const { return held_.configuration_.version_; }
-  std::uint64_t KnownElsewhere(Instant aNow) const;
-  void Take(Actions& aActions,
-            ConfigurationRecord aRecord,
-            const std::string& aSource);
+  std::uint64_t KnownPeerVersion(Instant aNow) const;
+  void Apply(Actions& aActions,
+             ConfigurationRecord aRecord,
+             const std::string& aSource);
   void Answer(Actions& aActions, int aStatus, std::string aMessage);
   void WriteChange(Actions& aActions);
   void WriteBack(Actions& aActions, std::uint64_t aRevision, Instant aNow);
   void CompareRow(Actions& aActions, const TableRow& aRow, Instant aNow);
   void BeginChange(Actions& aActions);
-  std::string WrongVersion() const;
+  std::string WrongVersionMessage() const;
   void OnChangeWritten(Actions& aActions,
                        const TableOutcome& aOutcome,
                        Instant aNow);
@@ -85,26 +85,26 @@
   bool rowKnown_ = false;
   std::uint64_t revision_ = 0;
   Instant nextRead_;
-  Instant nextAsk_;
+  Instant nextPeerRequest_;
   Instant nextWriteBack_;
   std::uint64_t peerVersion_ = 0;
   Instant peerVersionUntil_;
   std::optional<Change> change_;
   /** Revision of the last alarm; each revision raises at most one alarm. */
-  std::optional<std::uint64_t> alarmed_;
+  std::optional<std::uint64_t> alarmedRevision_;
   ConfigurationCounts counts_;
 };
 
 std::uint64_t
-ConfigurationVersion::Private::KnownElsewhere(Instant aNow) const
+ConfigurationVersion::Private::KnownPeerVersion(Instant aNow) const
 {
   return peerVersionUntil_ > aNow ? peerVersion_ : 0;
 }
 
 void
-ConfigurationVersion::Private::Take(Actions& aActions,
-                                    ConfigurationRecord aRecord,
-                                    const std::string& aSource)
+ConfigurationVersion::Private::Apply(Actions& aActions,
+                                     ConfigurationRecord aRecord,
+                                     const std::string& aSource)
 {
   held_ = std::move(aRecord);
   aActions.emplace_back(TakeConfiguration{
@@ -138,7 +138,7 @@
   if (nextWriteBack_ > aNow || change_.has_value()) {
     return;
   }
-  nextWriteBack_ = aNow + kWriteBackEvery;
+  nextWriteBack_ = aNow + kWriteBackInterval;
   ++counts_.writeBacks_;
   aActions.emplace_back(
     WriteConfigurationRow{ aRevision, ToJson(held_), false });
@@ -152,10 +152,10 @@
   const bool absent = aRow.revision_ == 0;
   const std::optional<ConfigurationRecord> record =
     absent ? ConfigurationRecord{} : ReadRecord(aRow.value_);
-  const bool firstSight = alarmed_ != aRow.revision_;
+  const bool isNewRevision = alarmedRevision_ != aRow.revision_;
   if (!record.has_value()) {
-    if (firstSight) {
-      alarmed_ = aRow.revision_;
+    if (isNewRevision) {
+      alarmedRevision_ = aRow.revision_;
       ++counts_.invalidRows_;
       aActions.emplace_back(RaiseConfigurationAlarm{
         "configuration-invalid",
@@ -167,12 +167,13 @@
   }
   const std::uint64_t version = record->configuration_.version_;
   if (version > Held()) {
-    Take(aActions, *record, "table");
+    Apply(aActions, *record, "table");
     return;
   }
   if (version == Held()) {
-    if (firstSight && !SameText(record->configuration_, held_.configuration_)) {
-      alarmed_ = aRow.revision_;
+    if (isNewRevision &&
+        !SameText(record->configuration_, held_.configuration_)) {
+      alarmedRevision_ = aRow.revision_;
       ++counts_.forks_;
       aActions.emplace_back(RaiseConfigurationAlarm{
         "configuration-fork",
@@ -184,8 +185,8 @@
   }
   // The table was restored from a backup or returns stale data. Applying the
   // row would revert a change that was confirmed to an operator.
-  if (firstSight) {
-    alarmed_ = aRow.revision_;
+  if (isNewRevision) {
+    alarmedRevision_ = aRow.revision_;
     ++counts_.regressions_;
     aActions.emplace_back(RaiseConfigurationAlarm{
       "configuration-regression",
@@ -208,7 +209,7 @@
                      "Another change is being written through this entry; "
                      "look at its outcome first.");
   }
-  const std::uint64_t elsewhere = KnownElsewhere(aNow);
+  const std::uint64_t elsewhere = KnownPeerVersion(aNow);
   if (elsewhere > Held()) {
     return std::pair(kUnavailable,
                      "Version " + std::to_string(elsewhere) +
@@ -217,13 +218,13 @@
   }
   const std::uint64_t version = std::get<Configuration>(aParsed).version_;
   if (rowKnown_ && version != Held() + 1) {
-    return std::pair(kConflict, WrongVersion());
+    return std::pair(kConflict, WrongVersionMessage());
   }
   return std::nullopt;
 }
 
 std::string
-ConfigurationVersion::Private::WrongVersion() const
+ConfigurationVersion::Private::WrongVersionMessage() const
 {
   return "The version must be " + std::to_string(Held() + 1) +
          "; another operator may have changed the configuration. The change "
@@ -239,7 +240,7 @@
     return;
   }
   if (change_->record_.configuration_.version_ != Held() + 1) {
-    Answer(aActions, kConflict, WrongVersion());
+    Answer(aActions, kConflict, WrongVersionMessage());
     return;
   }
   change_->revision_ = revision_;
@@ -256,7 +257,7 @@
   rowKnown_ = true;
   revision_ = row.revision_;
   if (aOutcome.applied_) {
-    Take(aActions, change_->record_, "operator");
+    Apply(aActions, change_->record_, "operator");
     Answer(aActions, kOk, {});
     return;
   }
@@ -272,7 +273,7 @@
       SameText(found->configuration_, change_->record_.configuration_)));
   if (own) {
     if (mine > Held()) {
-      Take(aActions, *found, "operator");
+      Apply(aActions, *found, "operator");
     }
     Answer(aActions, kOk, {});
     return;
@@ -318,13 +319,13 @@
   }
   if (!self.reading_ && self.nextRead_ <= aNow) {
     self.reading_ = true;
-    self.nextRead_ = aNow + kReadEvery;
+    self.nextRead_ = aNow + kReadInterval;
     actions.emplace_back(ReadConfigurationRow{});
   }
-  const bool lacking = self.KnownElsewhere(aNow) > self.Held() ||
-                       (self.Held() == 0 && !self.rowKnown_);
-  if (lacking && self.nextAsk_ <= aNow) {
-    self.nextAsk_ = aNow + kReadEvery;
+  const bool needsPeers = self.KnownPeerVersion(aNow) > self.Held() ||
+                          (self.Held() == 0 && !self.rowKnown_);
+  if (needsPeers && self.nextPeerRequest_ <= aNow) {
+    self.nextPeerRequest_ = aNow + kReadInterval;
     actions.emplace_back(AskPeersForConfiguration{});
   }
   return actions;
@@ -363,8 +364,8 @@
 {
   Private& self = *private_;
   if (aVersion > self.Held()) {
-    self.peerVersion_ = std::max(aVersion, self.KnownElsewhere(aNow));
-    self.peerVersionUntil_ = aNow + kBelievePeers;
+    self.peerVersion_ = std::max(aVersion, self.KnownPeerVersion(aNow));
+    self.peerVersionUntil_ = aNow + kPeerVersionTimeout;
   }
   return {};
 }
@@ -380,7 +381,7 @@
   }
   ConfigurationRecord record;
   record.configuration_ = std::move(*configuration);
-  private_->Take(actions, std::move(record), "peer");
+  private_->Apply(actions, std::move(record), "peer");
   return actions;
 }
 
@@ -401,7 +402,7 @@
   Change change;
   change.record_.nonce_ = aNonce;
   change.record_.configuration_ = std::move(std::get<Configuration>(parsed));
-  change.deadline_ = aNow + kChangeBound;
+  change.deadline_ = aNow + kChangeTimeout;
   self.change_ = std::move(change);
   if (self.rowKnown_) {
     self.BeginChange(actions);
@@ -428,7 +429,7 @@
     return actions;
   }
   self.change_->writing_ = false;
-  self.change_->nextWrite_ = aNow + kRewriteAfter;
+  self.change_->nextWrite_ = aNow + kRewriteDelay;
   if (outcome == nullptr) {
     // The next tick sends the same write again; its condition holds at most
     // once.
--- a/Source/Version/JobLedger.cxx
+++ b/Source/Version/JobLedger.cxx
@@ -93,8 +93,8 @@
       };
     }
   }
-  if (row_.fresh_ < row_.spec_.tasks_) {
-    return PendingTask{ row_.fresh_, 1, {}, Verdict::DidNotRun };
+  if (row_.firstUnplacedTask_ < row_.spec_.tasks_) {
+    return PendingTask{ row_.firstUnplacedTask_, 1, {}, Verdict::DidNotRun };
   }
   return std::nullopt;
 }
@@ -102,8 +102,8 @@
 void
 JobLedger::Hold(std::uint32_t aIndex, const std::string& aCell)
 {
-  if (aIndex == row_.fresh_) {
-    ++row_.fresh_;
+  if (aIndex == row_.firstUnplacedTask_) {
+    ++row_.firstUnplacedTask_;
     TaskRecord task;
     task.index_ = aIndex;
     row_.open_.push_back(task);
@@ -128,7 +128,7 @@
 }
 
 bool
-JobLedger::MayRunAgain(TaskEnd aEnd, const std::string& aCheckpoint) const
+JobLedger::IsRestartable(TaskEnd aEnd, const std::string& aCheckpoint) const
 {
   // A payout batch whose worker was lost may have paid after its last
   // checkpoint; starting it again would pay twice. Only a checkpoint that was
@@ -173,7 +173,7 @@
     return true;
   }
   task->state_ =
-    MayRunAgain(aEnd, aCheckpoint) ? TaskState::Pending : TaskState::Parked;
+    IsRestartable(aEnd, aCheckpoint) ? TaskState::Pending : TaskState::Parked;
   task->verdict_ = CombineVerdicts(task->verdict_, aVerdict);
   task->cell_.clear();
   ++task->epoch_;
@@ -202,7 +202,7 @@
         return aTask.state_ == TaskState::Held;
       });
   }
-  return row_.fresh_ == row_.spec_.tasks_ && row_.open_.empty();
+  return row_.firstUnplacedTask_ == row_.spec_.tasks_ && row_.open_.empty();
 }
 
 }
--- a/Source/Version/JobLedger.h
+++ b/Source/Version/JobLedger.h
@@ -84,7 +84,7 @@
 private:
   TaskRecord* FindOpen(std::uint32_t aIndex);
   void Close(std::uint32_t aIndex);
-  bool MayRunAgain(TaskEnd aEnd, const std::string& aCheckpoint) const;
+  bool IsRestartable(TaskEnd aEnd, const std::string& aCheckpoint) const;
   bool IsFinal() const;
 
   JobRow row_;
--- a/Source/Version/JobSummary.cxx
+++ b/Source/Version/JobSummary.cxx
@@ -18,7 +18,7 @@
   summary.completed_ = aJob.completed_;
   summary.failed_ = aJob.failed_;
   summary.ended_ = aJob.ended_;
-  summary.waiting_ = aJob.spec_.tasks_ - aJob.fresh_;
+  summary.waiting_ = aJob.spec_.tasks_ - aJob.firstUnplacedTask_;
   for (const TaskRecord& task : aJob.open_) {
     summary.held_ += task.state_ == TaskState::Held ? 1 : 0;
     summary.waiting_ += task.state_ == TaskState::Pending ? 1 : 0;
--- a/Source/Version/JsonGuard.cxx
+++ b/Source/Version/JsonGuard.cxx
@@ -15,34 +15,35 @@
 std::size_t
 EndOfString(std::string_view aText, std::size_t aStart)
 {
-  std::size_t at = aStart + 1;
-  while (at < aText.size() && aText[at] != '"') {
-    at += aText[at] == '\\' ? 2 : 1;
+  std::size_t position = aStart + 1;
+  while (position < aText.size() && aText[position] != '"') {
+    position += aText[position] == '\\' ? 2 : 1;
   }
-  return at + 1;
+  return position + 1;
 }
 
 }
 
 std::string
-FindJsonHazard(std::string_view aText)
+FindUnsafeJson(std::string_view aText)
 {
   std::size_t depth = 0;
-  std::size_t at = 0;
-  while (at < aText.size()) {
-    const char character = aText[at];
+  std::size_t position = 0;
+  while (position < aText.size()) {
+    const char character = aText[position];
     if (character == '"') {
-      at = EndOfString(aText, at);
+      position = EndOfString(aText, position);
       continue;
     }
     if (kNumberCharacters.find(character) != std::string_view::npos) {
-      const std::size_t end = aText.find_first_not_of(kNumberCharacters, at);
+      const std::size_t end =
+        aText.find_first_not_of(kNumberCharacters, position);
       const std::size_t stop =
         end == std::string_view::npos ? aText.size() : end;
-      if (stop - at > kMaxNumberLength) {
+      if (stop - position > kMaxNumberLength) {
         return "it contains a number of more than 32 characters.";
       }
-      at = stop;
+      position = stop;
       continue;
     }
     if (character == '[' || character == '{') {
@@ -53,7 +54,7 @@
     if (depth > kMaxDepth) {
       return "it is nested more than 16 levels deep.";
     }
-    ++at;
+    ++position;
   }
   return {};
 }
--- a/Source/Version/JsonGuard.h
+++ b/Source/Version/JsonGuard.h
@@ -15,6 +15,6 @@
  * therefore refused before the text is parsed.
  */
 std::string
-FindJsonHazard(std::string_view aText);
+FindUnsafeJson(std::string_view aText);
 
 }
--- a/Source/Version/JsonText.h
+++ b/Source/Version/JsonText.h
@@ -38,10 +38,10 @@
 Result<Record>
 FromJson(std::string_view aText)
 {
-  const std::string hazard = FindJsonHazard(aText);
-  if (!hazard.empty()) {
+  const std::string unsafeReason = FindUnsafeJson(aText);
+  if (!unsafeReason.empty()) {
     return NotRun(FailureKind::BadInput,
-                  "The JSON text is not accepted: " + hazard);
+                  "The JSON text is not accepted: " + unsafeReason);
   }
   try {
     std::istringstream stream{ std::string(aText) };
--- a/Source/Version/TaskStanding.cxx
+++ b/Source/Version/TaskStanding.cxx
@@ -9,7 +9,7 @@
 namespace {
 
 std::string
-OpenDetail(const TaskRecord& aTask, bool aOver)
+OpenTaskDetail(const TaskRecord& aTask, bool aOver)
 {
   const std::string epoch = "epoch " + std::to_string(aTask.epoch_);
   switch (aTask.state_) {
@@ -61,8 +61,8 @@
     const bool held = task->state_ == TaskState::Held;
     step.verdict_ = held ? Verdict::MayHaveRun : task->verdict_;
     step.conclusive_ = !held;
-    step.detail_ = state + OpenDetail(*task, aOver);
-  } else if (aIndex >= aJob.fresh_) {
+    step.detail_ = state + OpenTaskDetail(*task, aOver);
+  } else if (aIndex >= aJob.firstUnplacedTask_) {
     step.verdict_ = Verdict::DidNotRun;
     step.detail_ = state + "the task was never placed";
   } else {
--- a/Source/Version/WorkRows.h
+++ b/Source/Version/WorkRows.h
@@ -91,7 +91,7 @@
   Wanted wanted_ = Wanted::Run;
   /** Index of the first task that has never been placed; neither have the
    * tasks after it. */
-  std::uint32_t fresh_ = 0;
+  std::uint32_t firstUnplacedTask_ = 0;
   std::vector<TaskRecord> open_;
   std::uint32_t completed_ = 0;
   std::uint32_t failed_ = 0;
@@ -104,7 +104,7 @@
     auto wanted = static_cast<std::uint8_t>(wanted_);
     ar(cereal::make_nvp("spec", spec_),
        cereal::make_nvp("wanted", wanted),
-       cereal::make_nvp("fresh", fresh_),
+       cereal::make_nvp("fresh", firstUnplacedTask_),
        cereal::make_nvp("open", open_),
        cereal::make_nvp("completed", completed_),
        cereal::make_nvp("failed", failed_),
--- a/Source/Version/WorkVerbs.cxx
+++ b/Source/Version/WorkVerbs.cxx
@@ -60,14 +60,14 @@
   // Cancel overrides stop, and both override all other verbs, in whatever order
   // concurrent requests arrive. No verb reactivates a stopped or cancelled job.
   const bool ended = before == Wanted::Stopped || before == Wanted::Cancelled;
-  const bool stronger =
+  const bool overrides =
     before == Wanted::Stopped && aWanted == Wanted::Cancelled;
   if (before == aWanted && !(aWanted == Wanted::Run && HasParked(row))) {
     outcome.outcome_ =
       "The job was " + std::string(WantedText(before)) + " already.";
     return outcome;
   }
-  if (ended && !stronger) {
+  if (ended && !overrides) {
     outcome.outcome_ = "The job was " + std::string(WantedText(before)) +
                        " before; this stays so.";
     return outcome;
@@ -125,7 +125,7 @@
                     "There is no tenant '" + spec.tenant_ +
                       "' in the configuration.");
     }
-    return Again();
+    return Retry();
   }
   if (!kVerbs.contains(request_.verb_)) {
     return Refuse(kBadRequest,
@@ -136,11 +136,11 @@
   if (const auto* failure = std::get_if<Failure>(&selector)) {
     return Refuse(kBadRequest, failure->message_);
   }
-  return Again();
+  return Retry();
 }
 
 VerbStep
-VerbSession::Again()
+VerbSession::Retry()
 {
   if (++attempts_ > kMaxAttempts) {
     return Refuse(kUnavailable,
@@ -156,7 +156,7 @@
 }
 
 void
-VerbSession::Keep(const std::vector<TableRow>& aRows, bool aCertain)
+VerbSession::MergeRows(const std::vector<TableRow>& aRows, bool aCertain)
 {
   for (const TableRow& row : aRows) {
     TableRow& known = rows_[row.key_];
@@ -168,11 +168,11 @@
 }
 
 const TableRow*
-VerbSession::RowOf(const std::string& aKey) const
+VerbSession::FindRow(const std::string& aKey) const
 {
   const auto found = rows_.find(aKey);
-  const bool there = found != rows_.end() && found->second.revision_ != 0;
-  return there ? &found->second : nullptr;
+  const bool exists = found != rows_.end() && found->second.revision_ != 0;
+  return exists ? &found->second : nullptr;
 }
 
 std::optional<VerbStep>
@@ -203,7 +203,7 @@
 {
   const auto* rows = std::get_if<std::vector<TableRow>>(&aRows);
   if (rows == nullptr) {
-    return Again();
+    return Retry();
   }
   const bool create = request_.verb_ == "create";
   const std::string jobKey =
@@ -228,7 +228,7 @@
       return VerbRead{ jobKey };
     }
     case Stage::Jobs: {
-      Keep(*rows, false);
+      MergeRows(*rows, false);
       if (!create) {
         return Prepare();
       }
@@ -236,7 +236,7 @@
       return VerbRead{ kDonePrefix + request_.spec_.id_ };
     }
     default:
-      Keep(*rows, false);
+      MergeRows(*rows, false);
       return Prepare();
   }
 }
@@ -256,7 +256,7 @@
   OperationRow outcome;
   outcome.request_ = request_;
   for (const std::string& key : { jobKey, doneKey }) {
-    const TableRow* row = RowOf(key);
+    const TableRow* row = FindRow(key);
     if (row == nullptr) {
       continue;
     }
@@ -359,7 +359,7 @@
     // shows. If it applies only later, the condition of the next attempt fails.
     mayHaveTakenEffect_ =
       mayHaveTakenEffect_ || failure->verdict_ != Verdict::DidNotRun;
-    return Again();
+    return Retry();
   }
   const auto& outcome = std::get<TableOutcome>(aOutcome);
   if (outcome.applied_) {
@@ -368,8 +368,8 @@
   if (auto first = FindFirstOutcome(outcome.rows_)) {
     return *first;
   }
-  Keep(outcome.rows_, true);
-  return Again();
+  MergeRows(outcome.rows_, true);
+  return Retry();
 }
 
 }
--- a/Source/Version/WorkVerbs.h
+++ b/Source/Version/WorkVerbs.h
@@ -124,7 +124,7 @@
     Writing,
   };
 
-  VerbStep Again();
+  VerbStep Retry();
   VerbStep Prepare();
   VerbStep PrepareCreate();
   VerbStep PrepareChange();
@@ -132,8 +132,8 @@
   VerbStep Refuse(int aStatus, std::string aMessage) const;
   std::optional<VerbStep> FindFirstOutcome(
     const std::vector<TableRow>& aRows) const;
-  void Keep(const std::vector<TableRow>& aRows, bool aCertain);
-  const TableRow* RowOf(const std::string& aKey) const;
+  void MergeRows(const std::vector<TableRow>& aRows, bool aCertain);
+  const TableRow* FindRow(const std::string& aKey) const;
 
   VerbRequest request_;
   CreationFacts facts_;
--- a/Tests/Golden/ConfigurationSession.cxx
+++ b/Tests/Golden/ConfigurationSession.cxx
@@ -23,7 +23,7 @@
 };
 
 /** A write that the table delays. */
-struct HeldWrite
+struct DelayedWrite
 {
   WriteConfigurationRow write_;
 };
@@ -55,19 +55,22 @@
 class ConfigurationSession::Private
 {
 public:
-  void Do(const std::string& aLine);
-  void DoTable(const std::string& aMode);
-  void Put(const std::string& aEntry, const std::string& aText);
-  void Hear(const std::string& aFrom, const std::string& aTo);
-  void Pass(Millis aTime);
-  void Act(const std::string& aEntry,
-           const ConfigurationVersion::Actions& aActions);
-  void Act(const std::string& aEntry, const ReadConfigurationRow& aAction);
-  void Act(const std::string& aEntry, const AskPeersForConfiguration& aAction);
-  void Act(const std::string& aEntry, const WriteConfigurationRow& aAction);
-  void Act(const std::string& aEntry, const TakeConfiguration& aAction);
-  void Act(const std::string& aEntry, const AnswerConfigurationChange& aAction);
-  void Act(const std::string& aEntry, const RaiseConfigurationAlarm& aAction);
+  void Execute(const std::string& aLine);
+  void ExecuteTableCommand(const std::string& aMode);
+  void SubmitChange(const std::string& aEntry, const std::string& aText);
+  void ReceivePeerVersion(const std::string& aFrom, const std::string& aTo);
+  void AdvanceTime(Millis aTime);
+  void Perform(const std::string& aEntry,
+               const ConfigurationVersion::Actions& aActions);
+  void Perform(const std::string& aEntry, const ReadConfigurationRow& aAction);
+  void Perform(const std::string& aEntry,
+               const AskPeersForConfiguration& aAction);
+  void Perform(const std::string& aEntry, const WriteConfigurationRow& aAction);
+  void Perform(const std::string& aEntry, const TakeConfiguration& aAction);
+  void Perform(const std::string& aEntry,
+               const AnswerConfigurationChange& aAction);
+  void Perform(const std::string& aEntry,
+               const RaiseConfigurationAlarm& aAction);
   TableOutcome Apply(const WriteConfigurationRow& aWrite);
   void Check();
   void Print(const std::string& aEntry, const std::string& aText);
@@ -76,12 +79,12 @@
   Instant now_;
   std::map<std::string, Entry> entries_;
   TableRow row_;
-  TableRow copy_;
+  TableRow savedRow_;
   std::uint64_t nextRevision_ = 1;
   std::string mode_ = "up";
-  bool past_ = false;
-  bool cut_ = false;
-  std::vector<HeldWrite> held_;
+  bool readsSavedRow_ = false;
+  bool disconnected_ = false;
+  std::vector<DelayedWrite> delayedWrites_;
   /** Versions that were confirmed to an operator as accepted, with their text.
    */
   std::map<std::uint64_t, std::string> accepted_;
@@ -108,40 +111,40 @@
 }
 
 void
-ConfigurationSession::Private::Act(
+ConfigurationSession::Private::Perform(
   const std::string& aEntry,
   const ConfigurationVersion::Actions& aActions)
 {
   for (const ConfigurationAction& action : aActions) {
-    std::visit([&](const auto& aAction) { Act(aEntry, aAction); }, action);
+    std::visit([&](const auto& aAction) { Perform(aEntry, aAction); }, action);
   }
 }
 
 void
-ConfigurationSession::Private::Act(const std::string& aEntry,
-                                   const ReadConfigurationRow&)
+ConfigurationSession::Private::Perform(const std::string& aEntry,
+                                       const ReadConfigurationRow&)
 {
   ConfigurationVersion& decision = entries_.at(aEntry).decision_;
   if (mode_ == "down") {
-    Act(aEntry, decision.OnReadFailed(now_));
+    Perform(aEntry, decision.OnReadFailed(now_));
     return;
   }
-  Act(aEntry, decision.OnRow(past_ ? copy_ : row_, now_));
+  Perform(aEntry, decision.OnRow(readsSavedRow_ ? savedRow_ : row_, now_));
 }
 
 void
-ConfigurationSession::Private::Act(const std::string& aEntry,
-                                   const AskPeersForConfiguration&)
+ConfigurationSession::Private::Perform(const std::string& aEntry,
+                                       const AskPeersForConfiguration&)
 {
-  if (cut_) {
+  if (disconnected_) {
     return;
   }
   Print(aEntry, "asks its peers");
   for (const auto& [name, peer] : entries_) {
     if (name != aEntry) {
-      Act(aEntry,
-          entries_.at(aEntry).decision_.OnPeerConfiguration(
-            ConfigurationText(peer.decision_.InForce()), now_));
+      Perform(aEntry,
+              entries_.at(aEntry).decision_.OnPeerConfiguration(
+                ConfigurationText(peer.decision_.InForce()), now_));
     }
   }
 }
@@ -159,8 +162,8 @@
 }
 
 void
-ConfigurationSession::Private::Act(const std::string& aEntry,
-                                   const WriteConfigurationRow& aAction)
+ConfigurationSession::Private::Perform(const std::string& aEntry,
+                                       const WriteConfigurationRow& aAction)
 {
   ConfigurationVersion& decision = entries_.at(aEntry).decision_;
   const std::string what = aAction.isChange_ ? "change" : "write-back";
@@ -169,13 +172,13 @@
   };
   if (mode_ == "down") {
     Print(aEntry, "writes " + what + ": the table is down");
-    Act(aEntry, decision.OnWritten(aAction, lost, now_));
+    Perform(aEntry, decision.OnWritten(aAction, lost, now_));
     return;
   }
   if (mode_ == "delay-writes") {
     Print(aEntry, "writes " + what + ": held back, no answer");
-    held_.push_back({ aAction });
-    Act(aEntry, decision.OnWritten(aAction, lost, now_));
+    delayedWrites_.push_back({ aAction });
+    Perform(aEntry, decision.OnWritten(aAction, lost, now_));
     return;
   }
   const TableOutcome outcome = Apply(aAction);
@@ -186,14 +189,14 @@
                             : ": refused, the row is at revision " +
                                 std::to_string(row_.revision_)) +
           (loses ? ", the answer is lost" : ""));
-  Act(aEntry,
-      loses ? decision.OnWritten(aAction, lost, now_)
-            : decision.OnWritten(aAction, outcome, now_));
+  Perform(aEntry,
+          loses ? decision.OnWritten(aAction, lost, now_)
+                : decision.OnWritten(aAction, outcome, now_));
 }
 
 void
-ConfigurationSession::Private::Act(const std::string& aEntry,
-                                   const TakeConfiguration& aAction)
+ConfigurationSession::Private::Perform(const std::string& aEntry,
+                                       const TakeConfiguration& aAction)
 {
   Entry& entry = entries_.at(aEntry);
   const Configuration& taken = *aAction.configuration_;
@@ -207,8 +210,8 @@
 }
 
 void
-ConfigurationSession::Private::Act(const std::string& aEntry,
-                                   const AnswerConfigurationChange& aAction)
+ConfigurationSession::Private::Perform(const std::string& aEntry,
+                                       const AnswerConfigurationChange& aAction)
 {
   Print(aEntry,
         "answers " + aAction.nonce_ + ": " + std::to_string(aAction.status_) +
@@ -226,65 +229,65 @@
 }
 
 void
-ConfigurationSession::Private::Act(const std::string& aEntry,
-                                   const RaiseConfigurationAlarm& aAction)
+ConfigurationSession::Private::Perform(const std::string& aEntry,
+                                       const RaiseConfigurationAlarm& aAction)
 {
   Print(aEntry, "ALARM " + aAction.event_ + ": " + aAction.detail_);
 }
 
 void
-ConfigurationSession::Private::Put(const std::string& aEntry,
-                                   const std::string& aText)
+ConfigurationSession::Private::SubmitChange(const std::string& aEntry,
+                                            const std::string& aText)
 {
   Entry& entry = entries_.at(aEntry);
   const std::string nonce = aEntry + "-" + std::to_string(entry.nextNonce_++);
   changes_[nonce] = aText;
   Print(aEntry, "operator puts " + nonce);
-  Act(aEntry, entry.decision_.OnChange(nonce, aText, now_));
+  Perform(aEntry, entry.decision_.OnChange(nonce, aText, now_));
 }
 
 void
-ConfigurationSession::Private::Hear(const std::string& aFrom,
-                                    const std::string& aTo)
+ConfigurationSession::Private::ReceivePeerVersion(const std::string& aFrom,
+                                                  const std::string& aTo)
 {
   const std::uint64_t version = entries_.at(aFrom).decision_.InForce().version_;
-  Act(aTo, entries_.at(aTo).decision_.OnPeerVersion(version, now_));
+  Perform(aTo, entries_.at(aTo).decision_.OnPeerVersion(version, now_));
 }
 
 void
-ConfigurationSession::Private::Pass(Millis aTime)
+ConfigurationSession::Private::AdvanceTime(Millis aTime)
 {
   const Instant end = now_ + aTime;
   while (now_ < end) {
     now_ += kTick;
     for (auto& [name, entry] : entries_) {
-      Act(name, entry.decision_.OnTick(now_));
+      Perform(name, entry.decision_.OnTick(now_));
     }
   }
 }
 
 void
-ConfigurationSession::Private::DoTable(const std::string& aMode)
+ConfigurationSession::Private::ExecuteTableCommand(const std::string& aMode)
 {
   if (aMode == "remember") {
-    copy_ = row_;
+    savedRow_ = row_;
   } else if (aMode == "restore") {
-    row_ = copy_;
+    row_ = savedRow_;
     if (row_.revision_ != 0) {
       row_.revision_ = nextRevision_++;
     }
   } else if (aMode == "past" || aMode == "present") {
-    past_ = aMode == "past";
+    readsSavedRow_ = aMode == "past";
   } else if (aMode == "corrupt") {
     row_ = { "config/current", nextRevision_++, "{\"nonce\":" };
   } else if (aMode == "release") {
-    for (const HeldWrite& held : held_) {
+    for (const DelayedWrite& held : delayedWrites_) {
       const bool applied = Apply(held.write_).applied_;
       Print("table",
             std::string("a held write is ") +
               (applied ? "applied" : "refused"));
     }
-    held_.clear();
+    delayedWrites_.clear();
     mode_ = "up";
   } else {
     mode_ = aMode;
@@ -312,7 +315,7 @@
 }
 
 void
-ConfigurationSession::Private::Do(const std::string& aLine)
+ConfigurationSession::Private::Execute(const std::string& aLine)
 {
   std::istringstream words(aLine);
   std::string command;
@@ -330,21 +333,21 @@
   } else if (command == "run") {
     std::int64_t milliseconds = 0;
     words >> milliseconds;
-    Pass(Millis(milliseconds));
+    AdvanceTime(Millis(milliseconds));
   } else if (command == "put") {
     words >> first >> second >> version;
-    Put(first, ChangeText(second, version));
+    SubmitChange(first, ChangeText(second, version));
   } else if (command == "put-bad") {
     words >> first >> version;
-    Put(first, ChangeText("not a name", version));
+    SubmitChange(first, ChangeText("not a name", version));
   } else if (command == "table") {
     words >> first;
-    DoTable(first);
+    ExecuteTableCommand(first);
   } else if (command == "peer") {
     words >> first >> second;
-    Hear(first, second);
+    ReceivePeerVersion(first, second);
   } else if (command == "cut" || command == "heal") {
-    cut_ = command == "cut";
+    disconnected_ = command == "cut";
   } else if (command == "check") {
     Check();
   } else {
@@ -366,7 +369,7 @@
   std::string line;
   while (std::getline(lines, line)) {
     if (!line.empty() && line.front() != '#') {
-      private_->Do(line);
+      private_->Execute(line);
     }
   }
   private_->text_ = private_->transcript_.str();
--- a/Tests/Golden/WorkWorld.h
+++ b/Tests/Golden/WorkWorld.h
@@ -38,8 +38,8 @@
     /** 0: clocks do not differ, every message takes a millisecond and none is
      * lost. */
     std::uint32_t seed_ = 0;
-    double lost_ = 0;
-    double late_ = 0;
+    double lossRate_ = 0;
+    double delayRate_ = 0;
     /** Whether to record a transcript. */
     bool traced_ = true;
     /** Creates the placement of each entry incarnation from a seed; first fit
@@ -96,12 +96,12 @@
     return std::uniform_real_distribution<double>(0, 1)(random_);
   }
 
-  Micros64 Between(Micros64 aLeast, Micros64 aMost)
+  Micros64 Between(Micros64 aMin, Micros64 aMax)
   {
-    return std::uniform_int_distribution<Micros64>(aLeast, aMost)(random_);
+    return std::uniform_int_distribution<Micros64>(aMin, aMax)(random_);
   }
 
-  void Say(const std::string& aLine)
+  void Trace(const std::string& aLine)
   {
     if (options_.traced_) {
       std::string time = std::to_string(now_ / 1000);
@@ -116,7 +116,7 @@
   {
     std::ostringstream sentence;
     (sentence << ... << aParts);
-    Say("BROKEN: " + sentence.str());
+    Trace("BROKEN: " + sentence.str());
     broken_.push_back(std::to_string(now_ / 1000) + " ms: " + sentence.str());
   }
 
@@ -125,9 +125,9 @@
     events_[{ std::max(aTime, now_), ++sequence_ }] = std::move(aEvent);
   }
 
-  void Run(Micros64 aSpan)
+  void Run(Micros64 aDuration)
   {
-    const Micros64 end = now_ + aSpan;
+    const Micros64 end = now_ + aDuration;
     while (!events_.empty() && events_.begin()->first.first <= end) {
       auto event = events_.extract(events_.begin());
       now_ = event.key().first;
@@ -216,13 +216,14 @@
     facts.capacity_ = worker.capacity_;
     facts.statedCapacity_ = worker.row_.capacity_;
     facts.checksRoom_ = false;
-    const std::string place = aId + "#" + std::to_string(facts.incarnation_);
+    const std::string processId =
+      aId + "#" + std::to_string(facts.incarnation_);
     worker.tasks_ = std::make_unique<WorkerTasks>(
       facts,
-      [this, place, aId](const std::string& aEvent,
-                         const cactusrail::TaskRef& aTask,
-                         const std::string& aDetail) {
-        OnTruth(place, aId, aEvent, aTask, aDetail);
+      [this, processId, aId](const std::string& aEvent,
+                             const cactusrail::TaskRef& aTask,
+                             const std::string& aDetail) {
+        OnTaskEvent(processId, aId, aEvent, aTask, aDetail);
       });
     Put(cactusrail::kWorkerPrefix + aId, cactusrail::ToJson(worker.row_));
   }
@@ -237,10 +238,10 @@
   }
 
   /** Replaces the registered process while the old one still runs. */
-  void SplitWorker(const std::string& aId)
+  void ReplaceWorker(const std::string& aId)
   {
     Worker& worker = workers_.at(aId);
-    zombies_.push_back(std::move(worker.tasks_));
+    replacedProcesses_.push_back(std::move(worker.tasks_));
     StartWorker(aId);
   }
 
@@ -254,7 +255,7 @@
     }
     worker.frozen_ = false;
     worker.tasks_->Advance(WorkerClock(worker));
-    CheckOnce("thaw of " + aId);
+    CheckRunsOnce("thaw of " + aId);
     for (const auto& event : std::exchange(worker.backlog_, {})) {
       event();
     }
@@ -294,14 +295,14 @@
   }
 
   /** Disables loss and delay of messages from now on. */
-  void Calm()
+  void DisableMessageFaults()
   {
-    options_.lost_ = 0;
-    options_.late_ = 0;
+    options_.lossRate_ = 0;
+    options_.delayRate_ = 0;
   }
 
   /** Checks that no task is stuck after all faults have ended. */
-  void CheckSettled()
+  void CheckNoStuckTasks()
   {
     for (const auto& [key, row] : rows_) {
       if (key.starts_with(cactusrail::kJobPrefix)) {
@@ -320,7 +321,7 @@
 
   /** Compares the verdict that explain derives from each task's row alone with
    * what really ran. */
-  void CheckStandings()
+  void CheckRecordedVerdicts()
   {
     for (const auto& [key, row] : rows_) {
       const bool over = key.starts_with(cactusrail::kDonePrefix);
@@ -331,7 +332,7 @@
       for (std::uint32_t index = 0; index < job.spec_.tasks_; ++index) {
         const auto step = cactusrail::StandingOf(job, over, index);
         const bool ran = history_[step->requestId_].starts_ > 0;
-        ++standings_[step->verdict_];
+        ++recordedVerdicts_[step->verdict_];
         if (step->verdict_ ==
             (ran ? cactusrail::Verdict::DidNotRun : cactusrail::Verdict::Ran)) {
           Break("explain gives task " + step->requestId_ +
@@ -343,9 +344,9 @@
   }
 
   /** Returns how often explain gave each verdict. */
-  const std::map<cactusrail::Verdict, std::uint64_t>& Standings() const
+  const std::map<cactusrail::Verdict, std::uint64_t>& RecordedVerdicts() const
   {
-    return standings_;
+    return recordedVerdicts_;
   }
 
   template<typename Record>
@@ -395,11 +396,11 @@
     if (options_.seed_ == 0) {
       return 1000;
     }
-    return Chance() < options_.late_ ? Between(1000, 8000000)
-                                     : Between(500, 20000);
+    return Chance() < options_.delayRate_ ? Between(1000, 8000000)
+                                          : Between(500, 20000);
   }
 
-  bool Lost() { return options_.seed_ != 0 && Chance() < options_.lost_; }
+  bool Lost() { return options_.seed_ != 0 && Chance() < options_.lossRate_; }
 
   void TickEntry(const std::string& aName)
   {
@@ -418,8 +419,8 @@
     if (entry.alive_ && !entry.frozen_ && tableMode_ != "down") {
       Put(cactusrail::kEntryPrefix + aName, "{}");
     }
-    const auto every = options_.timings_.entrySilence_.count() / 3;
-    At(now_ + every, [this, aName] { TickPresence(aName); });
+    const auto interval = options_.timings_.entrySilence_.count() / 3;
+    At(now_ + interval, [this, aName] { TickPresence(aName); });
   }
 
   void TickWorker(const std::string& aId)
@@ -428,8 +429,8 @@
     if (worker.alive_ && !worker.frozen_) {
       worker.tasks_->Advance(WorkerClock(worker));
     }
-    for (const auto& zombie : zombies_) {
-      zombie->Advance(WorkerClock(worker));
+    for (const auto& process : replacedProcesses_) {
+      process->Advance(WorkerClock(worker));
     }
     At(now_ + 50000, [this, aId] { TickWorker(aId); });
   }
@@ -437,16 +438,17 @@
   /** Runs an event in the entry once it is not frozen. Drops the event if the
    * entry's incarnation has changed. */
   void Deliver(const std::string& aEntry,
-               std::uint64_t aLife,
+               std::uint64_t aIncarnation,
                const std::function<void(Entry&)>& aEvent)
   {
     Entry& entry = entries_.at(aEntry);
-    if (!entry.alive_ || entry.incarnation_ != aLife) {
+    if (!entry.alive_ || entry.incarnation_ != aIncarnation) {
       return;
     }
     if (entry.frozen_) {
-      entry.backlog_.push_back(
-        [this, aEntry, aLife, aEvent] { Deliver(aEntry, aLife, aEvent); });
+      entry.backlog_.push_back([this, aEntry, aIncarnation, aEvent] {
+        Deliver(aEntry, aIncarnation, aEvent);
+      });
       return;
     }
     aEvent(entry);
@@ -463,10 +465,10 @@
   void Do(Entry& aEntry, const cactusrail::ReadRowsAction& aAction)
   {
     const auto answer = [name = aEntry.name_,
-                         life = aEntry.incarnation_,
+                         incarnation = aEntry.incarnation_,
                          token = aAction.token_,
                          this](const auto& aRows) {
-      Deliver(name, life, [this, token, aRows](Entry& aNow) {
+      Deliver(name, incarnation, [this, token, aRows](Entry& aNow) {
         aNow.core_->OnRows(token, aRows, EntryClock(aNow));
       });
     };
@@ -476,10 +478,10 @@
   void Do(Entry& aEntry, const cactusrail::TransactAction& aAction)
   {
     const auto answer = [name = aEntry.name_,
-                         life = aEntry.incarnation_,
+                         incarnation = aEntry.incarnation_,
                          token = aAction.token_,
                          this](const auto& aOutcome) {
-      Deliver(name, life, [this, token, aOutcome](Entry& aNow) {
+      Deliver(name, incarnation, [this, token, aOutcome](Entry& aNow) {
         aNow.core_->OnTransact(token, aOutcome, EntryClock(aNow));
       });
     };
@@ -489,9 +491,9 @@
   void Do(Entry& aEntry, const cactusrail::NoteAction& aAction)
   {
     const cactusrail::RequestStep& step = aAction.step_;
-    Say(aEntry.name_ + " notes " + step.requestId_ + " " + step.step_ + " (" +
-        step.detail_ +
-        "): " + std::string(cactusrail::VerdictText(step.verdict_)));
+    Trace(aEntry.name_ + " notes " + step.requestId_ + " " + step.step_ + " (" +
+          step.detail_ +
+          "): " + std::string(cactusrail::VerdictText(step.verdict_)));
     if (step.verdict_ == cactusrail::Verdict::DidNotRun &&
         history_[step.requestId_].starts_ > 0) {
       Break("task " + step.requestId_ +
@@ -502,14 +504,14 @@
   void Do(Entry& aEntry, const cactusrail::CallWorkerAction& aAction)
   {
     const std::string name = aEntry.name_;
-    const std::uint64_t life = aEntry.incarnation_;
+    const std::uint64_t incarnation = aEntry.incarnation_;
     const std::uint64_t token = aAction.token_;
     const auto answer = [=, this](const auto& aReport) {
-      Deliver(name, life, [this, token, aReport](Entry& aNow) {
+      Deliver(name, incarnation, [this, token, aReport](Entry& aNow) {
         aNow.core_->OnWorker(token, aReport, EntryClock(aNow));
       });
     };
-    SayCommand(name, aAction);
+    TraceCommand(name, aAction);
     At(now_ + options_.timings_.callTimeout_.count(),
        [answer] { answer(NoAnswer<cactusrail::WorkerReport>()); });
     Worker& worker = workers_.at(aAction.workerId_);
@@ -517,18 +519,18 @@
       worker.loseCalls_ -= worker.loseCalls_ > 0 ? 1 : 0;
       return;
     }
-    const auto take =
+    const auto handle =
       [this, id = aAction.workerId_, command = aAction.command_, answer] {
-        TakeCommand(id, command, answer);
+        HandleCommand(id, command, answer);
       };
-    At(now_ + Delay(), take);
-    if (options_.seed_ != 0 && Chance() < options_.late_ / 4) {
-      At(now_ + Delay(), take);
+    At(now_ + Delay(), handle);
+    if (options_.seed_ != 0 && Chance() < options_.delayRate_ / 4) {
+      At(now_ + Delay(), handle);
     }
   }
 
-  void SayCommand(const std::string& aEntry,
-                  const cactusrail::CallWorkerAction& aAction)
+  void TraceCommand(const std::string& aEntry,
+                    const cactusrail::CallWorkerAction& aAction)
   {
     if (!options_.traced_) {
       return;
@@ -553,10 +555,10 @@
         line += ", forget" + name(task);
       }
     }
-    Say(line);
+    Trace(line);
   }
 
-  void TakeCommand(
+  void HandleCommand(
     const std::string& aId,
     const cactusrail::WorkerCommand& aCommand,
     const std::function<
@@ -568,14 +570,14 @@
     }
     if (worker.frozen_) {
       worker.backlog_.push_back([this, aId, aCommand, aAnswer] {
-        TakeCommand(aId, aCommand, aAnswer);
+        HandleCommand(aId, aCommand, aAnswer);
       });
       return;
     }
     cactusrail::WorkerReport report =
       worker.tasks_->Handle(aCommand, WorkerClock(worker));
     if (!report.refused_.empty()) {
-      Say(aId + " refuses: " + report.refused_);
+      Trace(aId + " refuses: " + report.refused_);
     }
     if (worker.reportsLess_) {
       report.running_.clear();
@@ -625,7 +627,7 @@
   }
 
   void Transact(
-    const std::string& aWho,
+    const std::string& aWriter,
     const cactusrail::TableTransaction& aTransaction,
     const std::function<
       void(const cactusrail::Result<cactusrail::TableOutcome>&)>& aAnswer)
@@ -636,14 +638,14 @@
     if (Lost()) {
       return;
     }
-    At(now_ + Delay(), [this, aWho, aTransaction, aAnswer] {
+    At(now_ + Delay(), [this, aWriter, aTransaction, aAnswer] {
       if (tableMode_ == "down") {
         return;
       }
-      const cactusrail::TableOutcome outcome = Apply(aWho, aTransaction);
+      const cactusrail::TableOutcome outcome = Apply(aWriter, aTransaction);
       if (loseTableAnswers_ > 0) {
         --loseTableAnswers_;
-        Say("table loses its answer to " + aWho);
+        Trace("table loses its answer to " + aWriter);
         return;
       }
       if (!Lost()) {
@@ -652,7 +654,7 @@
     });
   }
 
-  cactusrail::TableOutcome Apply(const std::string& aWho,
+  cactusrail::TableOutcome Apply(const std::string& aWriter,
                                  const cactusrail::TableTransaction& aWrite)
   {
     cactusrail::TableOutcome outcome;
@@ -669,13 +671,13 @@
         outcome.rows_.push_back(row);
       }
     }
-    std::string line = aWho + (outcome.applied_ ? " writes" : " is refused");
+    std::string line = aWriter + (outcome.applied_ ? " writes" : " is refused");
     for (const auto& put : aWrite.puts_) {
       line += " " + put.key_;
       cellWrites_ += put.key_.starts_with(cactusrail::kCellPrefix) ? 1 : 0;
     }
     changingWrites_ += aWrite.puts_.size() > 1 ? 1 : 0;
-    Say(line);
+    Trace(line);
     if (outcome.applied_) {
       for (const auto& put : aWrite.puts_) {
         outcome.rows_.push_back({ put.key_, Put(put.key_, put.value_), "" });
@@ -683,7 +685,7 @@
       for (const std::string& key : aWrite.deletes_) {
         rows_.erase(key);
       }
-      CheckCounted("a write of " + aWho);
+      CheckReservations("a write of " + aWriter);
     }
     return outcome;
   }
@@ -735,7 +737,7 @@
     for (const auto& job : aAnswer.operation_.jobs_) {
       jobs += job.jobId_ + ": " + job.outcome_ + " ";
     }
-    Say(line + jobs);
+    Trace(line + jobs);
     if (aAnswer.status_ != 200) {
       return;
     }
@@ -746,16 +748,16 @@
   }
 
   // The promises.
-  void OnTruth(const std::string& aPlace,
-               const std::string& aWorker,
-               const std::string& aEvent,
-               const cactusrail::TaskRef& aTask,
-               const std::string& aDetail)
+  void OnTaskEvent(const std::string& aProcessId,
+                   const std::string& aWorker,
+                   const std::string& aEvent,
+                   const cactusrail::TaskRef& aTask,
+                   const std::string& aDetail)
   {
     const std::string run =
-      aPlace + " " + aTask.taskId_ + "/" + std::to_string(aTask.epoch_);
-    Say(aPlace + " " + aEvent + " " + aTask.taskId_ + "/" +
-        std::to_string(aTask.epoch_) + " " + aDetail);
+      aProcessId + " " + aTask.taskId_ + "/" + std::to_string(aTask.epoch_);
+    Trace(aProcessId + " " + aEvent + " " + aTask.taskId_ + "/" +
+          std::to_string(aTask.epoch_) + " " + aDetail);
     History& history = history_[aTask.taskId_];
     if (aEvent == "ended") {
       running_.erase(run);
@@ -774,8 +776,8 @@
     history.epoch_ = aTask.epoch_;
     history.end_.clear();
     running_[run] = { aWorker, aTask };
-    CheckOnce("start of " + run);
-    CheckCounted("start of " + run);
+    CheckRunsOnce("start of " + run);
+    CheckReservations("start of " + run);
   }
 
   void CheckStart(const cactusrail::TaskRef& aTask,
@@ -794,15 +796,16 @@
             "', which is not what the table records");
     }
     const cactusrail::JobSpec spec = SpecOf(id);
-    const bool clean = aHistory.end_ == "stopped" && !aCheckpoint.empty();
-    const bool idempotent =
-      spec.idempotent_ || operatorResumes_.contains(spec.id_);
+    const bool stoppedWithCheckpoint =
+      aHistory.end_ == "stopped" && !aCheckpoint.empty();
+    const bool idempotent = spec.idempotent_ || resumedJobs_.contains(spec.id_);
     // Idempotent work may run again if its worker was killed before it reported
-    // the end. Once the end is recorded, CheckCounted detects such a start.
+    // the end. Once the end is recorded, CheckReservations detects such a
+    // start.
     if (aHistory.completed_ && !idempotent) {
       Break("task " + id + " had completed and was started again");
     }
-    if (!idempotent && !clean) {
+    if (!idempotent && !stoppedWithCheckpoint) {
       Break("task " + id + " may have run (" + aHistory.end_ +
             ") and was started again");
     }
@@ -849,7 +852,7 @@
     return worker != workers_.end() && worker->second.frozen_;
   }
 
-  void CheckOnce(const std::string& aWhen)
+  void CheckRunsOnce(const std::string& aWhen)
   {
     std::set<std::string> tasks;
     for (const auto& [run, facts] : running_) {
@@ -863,7 +866,7 @@
 
   /** Checks that every running task has a reservation and that the reservations
    * fit the workers' capacities and the tenants' quotas. */
-  void CheckCounted(const std::string& aWhen)
+  void CheckReservations(const std::string& aWhen)
   {
     std::set<std::string> counted;
     std::map<std::string, cactusrail::Resources> reserved;
@@ -901,7 +904,7 @@
 
 public:
   /** Jobs whose parked tasks an operator has restarted. */
-  std::set<std::string> operatorResumes_;
+  std::set<std::string> resumedJobs_;
 
 private:
   Options options_;
@@ -911,7 +914,7 @@
   std::map<std::pair<Micros64, std::uint64_t>, std::function<void()>> events_;
   std::map<std::string, Entry> entries_;
   std::map<std::string, Worker> workers_;
-  std::vector<std::unique_ptr<WorkerTasks>> zombies_;
+  std::vector<std::unique_ptr<WorkerTasks>> replacedProcesses_;
   std::map<std::string, cactusrail::TableRow> rows_;
   std::map<std::string, cactusrail::TableRow> past_;
   std::map<std::string, std::int64_t> quotas_;
@@ -920,7 +923,7 @@
   std::map<std::string, RunningStart> running_;
   std::map<std::string, History> history_;
   std::map<std::string, std::string> answers_;
-  std::map<cactusrail::Verdict, std::uint64_t> standings_;
+  std::map<cactusrail::Verdict, std::uint64_t> recordedVerdicts_;
   std::vector<std::string> broken_;
   std::string transcript_;
   std::uint64_t starts_ = 0;
--- a/Tests/Unit/JobLedgerTest.cxx
+++ b/Tests/Unit/JobLedgerTest.cxx
@@ -22,7 +22,7 @@
 // A worker freezes past its lease and its task is started elsewhere under the
 // next epoch. After the thaw the worker reports that the old start completed.
 // Applying that report would complete the job while its task still runs.
-Test(JobLedger, TakesNoEndOfAnOldEpoch)
+Test(JobLedger, IgnoresEndOfAnOldEpoch)
 {
   JobLedger job = HeldJob(true);
   cr_assert(job.End(0, 1, TaskEnd::Lost, Verdict::MayHaveRun, ""));
@@ -36,7 +36,7 @@
 
 // Two owners process the same eviction and both write its end. Applying the
 // second end would raise the epoch again and start the task twice.
-Test(JobLedger, TakesAnEndOnce)
+Test(JobLedger, IgnoresARepeatedEnd)
 {
   JobLedger job = HeldJob(false);
   cr_assert(job.End(0, 1, TaskEnd::Stopped, Verdict::Ran, "job.0/1/3"));
@@ -47,7 +47,7 @@
 
 // A payout batch is stopped and its checkpoint fails, so that its progress is
 // unknown. Starting it again without an operator could pay twice.
-Test(JobLedger, ParksWhatStoppedWithoutACheckpoint)
+Test(JobLedger, ParksATaskStoppedWithoutACheckpoint)
 {
   JobLedger job = HeldJob(false);
   cr_assert(job.End(0, 1, TaskEnd::Stopped, Verdict::Ran, ""));
--- a/Tests/Unit/JsonGuardTest.cxx
+++ b/Tests/Unit/JsonGuardTest.cxx
@@ -12,7 +12,7 @@
 {
   const std::string text =
     "[" + std::string(30, '4') + "." + std::string(800, '5') + "]";
-  cr_assert(!FindJsonHazard(text).empty());
+  cr_assert(!FindUnsafeJson(text).empty());
   cr_assert(!Succeeded(ParseConfiguration(text)));
 }
 
@@ -21,15 +21,15 @@
 Test(JsonGuard, RefusesDeepNesting)
 {
   const std::string text(1U << 20U, '[');
-  cr_assert(!FindJsonHazard(text).empty());
+  cr_assert(!FindUnsafeJson(text).empty());
   cr_assert(!Succeeded(ParseConfiguration(text)));
 }
 
 // Limits on numbers and nesting must not refuse long strings, such as keys in
 // hex.
-Test(JsonGuard, TakesLongDigitsAndBracketsInsideStrings)
+Test(JsonGuard, AcceptsLongDigitsAndBracketsInsideStrings)
 {
   const std::string text =
     "{\"key\":\"" + std::string(64, '7') + std::string(64, '[') + "\\\"\"}";
-  cr_assert(FindJsonHazard(text).empty());
+  cr_assert(FindUnsafeJson(text).empty());
 }
--- a/Tests/Unit/WorkRandomTest.cxx
+++ b/Tests/Unit/WorkRandomTest.cxx
@@ -31,8 +31,8 @@
   WorkWorld::Options options;
   options.seed_ = aSeed;
   options.tick_ = kSecond / 4;
-  options.lost_ = 0.03;
-  options.late_ = 0.03;
+  options.lossRate_ = 0.03;
+  options.delayRate_ = 0.03;
   options.traced_ = std::getenv("WORK_SEED") != nullptr;
   options.timings_.cellLease_ = std::chrono::seconds(4);
   options.timings_.beatEvery_ = std::chrono::seconds(1);
@@ -109,7 +109,7 @@
       break;
     case 4:
       if (aWorld.WorkerOf(worker).alive_ && !aWorld.WorkerOf(worker).frozen_) {
-        aWorld.SplitWorker(worker);
+        aWorld.ReplaceWorker(worker);
       }
       break;
     case 5:
@@ -135,7 +135,7 @@
       request.selector_ = kSelectors[aWorld.Between(0, 4)];
       request.operationId_ = "verb-" + std::to_string(aNumber);
       for (int job = 0; request.verb_ == "resume" && job < 6; ++job) {
-        aWorld.operatorResumes_.insert("job" + std::to_string(job));
+        aWorld.resumedJobs_.insert("job" + std::to_string(job));
       }
       aWorld.Ask(entry, request);
       aWorld.At(later, [&aWorld, request] { aWorld.Ask("e1", request); });
@@ -146,9 +146,9 @@
 
 /** Ends all faults, so that every runnable task must reach its end. */
 void
-Heal(WorkWorld& aWorld)
+EndAllFaults(WorkWorld& aWorld)
 {
-  aWorld.Calm();
+  aWorld.DisableMessageFaults();
   aWorld.SetTable("up");
   aWorld.loseTableAnswers_ = 0;
   for (const std::string number : { "1", "2", "3" }) {
@@ -169,7 +169,7 @@
   std::uint64_t sessions_ = 0;
   std::uint64_t starts_ = 0;
   std::uint64_t broken_ = 0;
-  std::map<Verdict, std::uint64_t> standings_;
+  std::map<Verdict, std::uint64_t> recordedVerdicts_;
 };
 
 void
@@ -193,12 +193,12 @@
              [&world, number] { RandomEvent(world, number); });
   }
   world.Run(28 * kSecond);
-  Heal(world);
+  EndAllFaults(world);
   world.Run(75 * kSecond);
-  world.CheckSettled();
-  world.CheckStandings();
-  for (const auto& [verdict, count] : world.Standings()) {
-    aTotals.standings_[verdict] += count;
+  world.CheckNoStuckTasks();
+  world.CheckRecordedVerdicts();
+  for (const auto& [verdict, count] : world.RecordedVerdicts()) {
+    aTotals.recordedVerdicts_[verdict] += count;
   }
   std::cerr << world.Transcript();
   ++aTotals.sessions_;
@@ -224,7 +224,7 @@
   }
   std::cerr << "sessions=" << totals.sessions_ << " starts=" << totals.starts_
             << " broken=" << totals.broken_ << " tasks:";
-  for (const auto& [verdict, count] : totals.standings_) {
+  for (const auto& [verdict, count] : totals.recordedVerdicts_) {
     std::cerr << " '" << VerdictText(verdict) << "' " << count;
   }
   std::cerr << '\n';
@@ -234,22 +234,22 @@
 
 }
 
-Test(WorkRandom, FirstSchedules)
+Test(WorkRandom, PromisesHoldFromSeed1)
 {
   RunSessions(1);
 }
 
-Test(WorkRandom, SecondSchedules)
+Test(WorkRandom, PromisesHoldFromSeed10001)
 {
   RunSessions(10001);
 }
 
-Test(WorkRandom, ThirdSchedules)
+Test(WorkRandom, PromisesHoldFromSeed20001)
 {
   RunSessions(20001);
 }
 
-Test(WorkRandom, FourthSchedules)
+Test(WorkRandom, PromisesHoldFromSeed30001)
 {
   RunSessions(30001);
 }
--- a/Tests/Unit/WorkSessionTest.cxx
+++ b/Tests/Unit/WorkSessionTest.cxx
@@ -80,7 +80,7 @@
   if (verb.empty() || verb.starts_with('#')) {
     return;
   }
-  world_.Say("> " + aLine);
+  world_.Trace("> " + aLine);
   words >> name;
   if (verb == "worker") {
     std::int64_t cpus = 0;
@@ -114,7 +114,7 @@
   } else if (verb == "thaw-worker") {
     world_.ThawWorker(name);
   } else if (verb == "replace-worker") {
-    world_.SplitWorker(name);
+    world_.ReplaceWorker(name);
   } else if (verb == "lose-answers") {
     words >> world_.WorkerOf(name).loseAnswers_;
   } else if (verb == "lose-calls") {
@@ -136,7 +136,7 @@
     words >> request.selector_ >> request.operationId_;
     if (verb == "resume") {
       for (const auto& [key, row] : world_.Rows()) {
-        world_.operatorResumes_.insert(key.substr(key.find('/') + 1));
+        world_.resumedJobs_.insert(key.substr(key.find('/') + 1));
       }
     }
     world_.Ask(name, request);
