--- a/Source/Process/FleetScheduler.cxx
+++ b/Source/Process/FleetScheduler.cxx
@@ -33,8 +33,15 @@
  * incarnation.
  */
 constexpr Millis kUsualSyncTime{ 2000 };
-/** Maximum number of names of such sides in one log event. */
+/**
+ * Maximum number of names in the log event on sides that have not reported to a
+ * new leader within kUsualSyncTime.
+ */
 constexpr std::size_t kMaxLoggedSides = 8;
+/**
+ * Delay before the row of an unreachable side is removed whose last report
+ * showed that its worker had left.
+ */
 constexpr Millis kDepartedSideRetention{ 1000 };
 
 }
@@ -274,10 +281,6 @@
   });
 }
 
-/**
- * Whether work from before this leader still waits for sides. Logs the names of
- * the sides if the wait takes longer than reachable sides need.
- */
 bool
 FleetScheduler::DefersOldWork(Instant aNow)
 {
--- a/Source/Process/FleetScheduler.h
+++ b/Source/Process/FleetScheduler.h
@@ -120,7 +120,7 @@
    * before.
    */
   bool OnSideRegistered(const std::string& aNode, Instant aNow);
-  /** The row was removed by its side or because of Removable(). */
+  /** The row was removed by its side or because of RemovableSides(). */
   void OnSideRemoved(const std::string& aNode);
   /** The whole table has been read. */
   void OnLoaded(Instant aNow, std::int64_t aWallMs);
@@ -172,7 +172,9 @@
   struct JobEntry
   {
     std::unique_ptr<FleetJob> job_;
-    /** Stored before this leader took over; waits until no side is suspect. */
+    /**
+     * Stored before this leader took over; waits while DefersOldWork() is true.
+     */
     bool fromEarlierLeader_ = false;
     /** State that is stored in the table. */
     JobState storedState_ = JobState::Pending;
@@ -249,6 +251,11 @@
                    const TaskKey& aName,
                    Instant aNow);
   void OnGangDone(TaskLocation& aPlace, std::uint32_t aRun, Instant aNow);
+  /**
+   * Drops a run whose start was refused or not accepted in time. The worker
+   * gets no new tasks for a short time if it lacked capacity or gave no
+   * specific reason.
+   */
   void HandleRefusal(FleetWorker& aWorker,
                      const RejectedRun& aRefused,
                      Instant aNow);
@@ -268,7 +275,13 @@
   void BreakGang(TaskLocation& aPlace, const TaskKey& aName);
   void DropAllRuns(FleetWorker& aWorker, std::string_view aWhy, Instant aNow);
   void AbandonUnreachable(Instant aNow);
+  /** Whether any worker may still run work of a previous leader. */
   bool AnySuspect() const;
+  /**
+   * Whether jobs from an earlier leader are not placed yet, see AnySuspect().
+   * Logs the names of the sides that have not reported if the wait takes longer
+   * than reachable sides need, and the end of such a wait.
+   */
   bool DefersOldWork(Instant aNow);
 
   // Placement.
@@ -357,7 +370,8 @@
   };
   /**
    * Preempts runs of lower priorities on the worker where the fewest have to
-   * stop.
+   * stop. Does nothing for backfill, or if runs that are already being stopped
+   * free enough resources on a worker.
    */
   void PreemptFor(const FleetJob& aJob, const FleetStep& aStep, Instant aNow);
   PreemptionPlan PlanPreemption(FleetWorker& aWorker,
@@ -399,7 +413,11 @@
    * Whether the rate limits of the log permit an event on the task's wait now.
    */
   bool MayLogWait(FleetTask& aTask, Instant aNow);
-  /** Describes the capacity that a task of the step finds in options_. */
+  /**
+   * Returns a text for the log on why a task of the step waits: the CPU that it
+   * needs, the workers in options_ that may run it, and the capacity that is
+   * free.
+   */
   std::string DescribeWait(const JobEntry& aEntry,
                            const FleetStep& aStep,
                            Instant aNow) const;
@@ -424,6 +442,10 @@
                    TaskLocation& aPlace,
                    TaskRun& aRun,
                    Instant aNow);
+  /**
+   * Stops a run on a draining worker if the run would not end before the worker
+   * leaves. Runs of long-running tasks stop at once, those of gangs never.
+   */
   void EvacuateDraining(FleetWorker& aWorker,
                         const TaskKey& aName,
                         TaskLocation& aPlace,
--- a/Source/Process/FleetSchedulerLongRunning.cxx
+++ b/Source/Process/FleetSchedulerLongRunning.cxx
@@ -19,7 +19,8 @@
 
 /**
  * Validity of the reservation for a failed run; the restart backoff of its task
- * is shorter. Later a worker is reserved for the task.
+ * is shorter. After that time ReserveWorkerFor() reserves a worker for the
+ * task.
  */
 constexpr Millis kRestartReservation = kReservationDelay;
 
@@ -37,9 +38,9 @@
 constexpr std::size_t kWorkersPerReservation = 16;
 
 /**
- * A worker is reserved for a task only if its long-running tasks leave at least
- * this multiple of the resources of the task, so that short work keeps at least
- * as much there.
+ * A worker is reserved for a task only if the long-running tasks on the worker
+ * leave at least this multiple of the resources of the task, so that short work
+ * keeps at least as much there.
  */
 constexpr std::int64_t kMinCapacityFactor = 2;
 
--- a/Source/Process/FleetSchedulerMaintenance.cxx
+++ b/Source/Process/FleetSchedulerMaintenance.cxx
@@ -15,7 +15,10 @@
  */
 constexpr Millis kStallTimeout{ 1600 };
 
-/** Time without an answer of the worker after which a start is withdrawn. */
+/**
+ * Time without an answer of the worker, counted from the order, after which a
+ * start is withdrawn.
+ */
 constexpr Millis kStartTimeout{ 3000 };
 
 /**
@@ -35,14 +38,15 @@
 /** Minimum gain of a move, because a move discards work. */
 constexpr double kMoveGainMicros = 1.0e6;
 /**
- * Maximum number of moves of one task; a worker is not at fault for a task that
- * is slow everywhere.
+ * Maximum number of moves of one task because it stalls or is slow; a worker is
+ * not at fault for a task that is slow everywhere. Moves for other reasons,
+ * such as a draining worker, do not count.
  */
 constexpr std::uint32_t kMaxMoves = 2;
 
 /** Weight of the newest sample in the slowness of a worker. */
 constexpr double kSlownessWeight = 0.25;
-/** Fraction by which the slowness of a worker decays with each report. */
+/** Weight with which the slowness of a worker returns to 1 at each report. */
 constexpr double kSlownessDecay = 0.05;
 
 }
--- a/Source/Process/FleetSchedulerReports.cxx
+++ b/Source/Process/FleetSchedulerReports.cxx
@@ -12,7 +12,7 @@
 /**
  * Time for which a worker gets no new tasks after it refused a start for lack
  * of capacity, or for no specific reason, although free capacity was accounted
- * for it. Such a worker runs something that the scheduler does not know.
+ * for it. Such a worker runs something of which the scheduler has no record.
  */
 constexpr Millis kNoCapacityPause{ 300 };
 
@@ -238,8 +238,9 @@
   task.lastRun_ = std::max(task.lastRun_, aEnd.run_);
   if (aPlace.entry_->job_->IsOver() || task.done_) {
     RemoveRun(aPlace, aWorker.node_, aEnd.run_, aNow);
-    // Until the table holds the reason why this end changes nothing, the next
-    // leader would start the task again.
+    // This end changes nothing, because its job or task has already ended.
+    // Until that is stored in the table, the next leader would start the task
+    // again.
     const bool awaitsStore = !IsFinal(aPlace.entry_->storedState_);
     if (awaitsStore && aEnd.kind_ == EndKind::Done) {
       LogEvent("end-waits",
--- a/Source/Process/FleetSchedulerSharing.cxx
+++ b/Source/Process/FleetSchedulerSharing.cxx
@@ -17,6 +17,10 @@
  * costs do not predict to less than the 4 s that users accept.
  */
 constexpr Millis kOverloadTimeout{ 1800 };
+/**
+ * Pressure, the highest ratio of latency to objective among the serving tasks
+ * of a worker, below which paused backfill on that worker resumes.
+ */
 constexpr double kRecoveredPressure = 0.75;
 /**
  * Maximum number of workers under high-frequency reporting in a fleet of any
@@ -24,8 +28,8 @@
  */
 constexpr std::ptrdiff_t kMaxWatchedWorkers = 20;
 /**
- * Pressure, the ratio of latency to objective, above which a worker is reported
- * at high frequency beyond that limit.
+ * Pressure above which a worker is under high-frequency reporting even if
+ * kMaxWatchedWorkers others are.
  */
 constexpr double kHighPressure = 0.75;
 /**
@@ -35,7 +39,7 @@
 constexpr Millis kMinUsageSample{ 900 };
 /** Weight of the newest sample in the CPU share that backfill gets. */
 constexpr double kShareWeight = 0.2;
-/** Rate at which that share decays where no backfill runs. */
+/** Weight with which that share returns to 1 while no usage is measured. */
 constexpr double kShareDecay = 0.1;
 
 /** Granularity of ordered paces in percent; a finer one costs more orders. */
@@ -235,7 +239,7 @@
   TaskRun& run = *aRun.run_;
   run.pace_ = aPace;
   run.everThrottled_ = true;
-  // Progress is evaluated from here on.
+  // Progress at the new pace is evaluated from this time on.
   run.progressAt_ = aNow;
   run.firstReportAt_ = aNow;
   run.firstPercent_ = run.percent_;
--- a/Source/Process/FleetTimings.h
+++ b/Source/Process/FleetTimings.h
@@ -75,8 +75,9 @@
 constexpr Millis kHighFrequencyReportPeriod{ 250 };
 
 /**
- * Validity of the leader's request for high-frequency reporting: until the
- * leader's next orders, plus one lost report.
+ * Validity of the leader's request for high-frequency reporting, which the
+ * leader's next orders renew. Covers the time until those orders and the loss
+ * of one report.
  */
 constexpr Millis kWatchValidity{ 2500 };
 
--- a/Source/Process/FleetWorker.h
+++ b/Source/Process/FleetWorker.h
@@ -103,8 +103,8 @@
   /** End of the backoff after the worker refused a task for lack of
    * resources. */
   Instant refusalBackoffUntil_;
-  /** End of the period without new tasks after the worker stalled or was far
-   * too slow. */
+  /** End of the period without new tasks after a run on the worker stalled or a
+   * start got no answer. */
   Instant cordonedUntil_;
   /** Smoothed ratio of task durations here to those on other workers. */
   double slowness_ = 1;
@@ -113,7 +113,7 @@
   /** Start of the current period above its objective, for each serving task
    * that exceeds it. */
   std::map<std::string, Instant> overObjectiveSince_;
-  /** High-frequency reporting is on; see FleetScheduler::WatchClosely(). */
+  /** High-frequency reporting is on; see FleetScheduler::UpdateReportRate(). */
   bool highFrequency_ = false;
   /** Backfill is paused until the serving tasks have recovered. */
   bool backfillPaused_ = false;
