--- a/Source/Process/BackfillInterference.cxx
+++ b/Source/Process/BackfillInterference.cxx
@@ -28,7 +28,8 @@
  * capacity of ten others. Most pairs cost less; the rest cost at least twice as
  * much. */
 constexpr double kHarmlessCost = 0.07;
-/** Standard deviations above which a cost is more than noise. */
+/** Number of its standard deviations that a cost must exceed to slow running
+ * backfill; a lower cost is noise. */
 constexpr double kProvenDeviations = 1;
 /** Costs below this are noise. */
 constexpr double kMinCost = 0.01;
--- a/Source/Process/BackfillInterference.h
+++ b/Source/Process/BackfillInterference.h
@@ -43,7 +43,8 @@
   /** Amount of backfill that may run at full speed while the serving tasks keep
    * their objective, in tenths of the worker's processors. */
   double tenths_ = std::numeric_limits<double>::infinity();
-  /** Resulting speed, 0 to 1, for a task of a given size. */
+  /** Resulting speed, 0 to 1, for a task of a given size; set by the caller of
+   * FitOfAdditionalTask(). */
   double speed_ = 1;
   /** The cost to each serving task is low; see kHarmlessCost. */
   bool harmless_ = true;
@@ -81,9 +82,10 @@
                Instant aMeasuredAt);
 
   /**
-   * Returns the fit of one more backfill task of an image beside the given
-   * serving tasks and backfill (image and total size of its tasks), for the
-   * interval aAhead.
+   * Returns the fit, without its speed, of one more backfill task of an image
+   * beside the given serving tasks and backfill (total size of its tasks by
+   * image, in tenths of the worker's processors). aAhead is the interval for
+   * which the load of the serving tasks is predicted.
    */
   BackfillFit FitOfAdditionalTask(
     const std::map<ServingGroup, std::uint32_t>& aServing,
--- a/Source/Process/Lane.cxx
+++ b/Source/Process/Lane.cxx
@@ -25,6 +25,7 @@
 
 namespace {
 
+/** Tick interval with requests in progress. */
 constexpr Millis kTick{ 10 };
 /** Tick interval without requests: there are no deadlines to check, and each
  * wake-up costs CPU time. */
@@ -33,6 +34,8 @@
 /** No minimum interval: a claim is sent immediately if no transaction is in
  * flight. */
 constexpr Millis kClaimsInterval{ 0 };
+/** Time without an answer after which the next transaction may start; the
+ * unanswered one stays in flight until its own deadline. */
 constexpr Millis kClaimsTimeout{ 50 };
 constexpr std::string_view kServicePrefix = "/s/";
 constexpr std::string_view kBearer = "Bearer ";
--- a/Source/Process/LongRunningLimit.h
+++ b/Source/Process/LongRunningLimit.h
@@ -41,8 +41,10 @@
                         std::int64_t aPriority,
                         Instant aNow) const;
 
-  /** Returns the limit of the processors that long-running jobs may use of a
-   * service's capacity, both in thousandths. */
+  /** Returns the maximum CPU that all long-running jobs of a service may use
+   * once a job of this priority has started. The rest of the capacity is left
+   * to short work of this and more urgent priorities. Capacity and
+   * result are in thousandths of a processor. */
   double MaxLongRunningCpuMilli(std::string_view aService,
                                 std::int64_t aPriority,
                                 std::int64_t aCapacityMilli,
--- a/Source/Process/StepSegments.h
+++ b/Source/Process/StepSegments.h
@@ -14,15 +14,16 @@
 
 /**
  * Storage of request steps in the object store: one object per host and time
- * slot. Its name follows from a request's id, or from a step that names a side,
- * so that no search is needed.
+ * slot. The object's name follows from a request's id, or from a step that
+ * names a side, so that no search is needed.
  */
 
 /** Intervals at which an entry and a side store their steps; one slot each. */
 constexpr Millis kEntrySlot{ 2000 };
 constexpr Millis kSideSlot{ 30000 };
 
-/** Fields of a request's id, "NAME-INCARNATION-LANE-SLOT-NUMBER". */
+/** Fields of a request's id, "NAME-INCARNATION-LANE-SLOT-NUMBER", from which
+ * the name of the entry's object follows. */
 struct RequestOrigin
 {
   std::string entry_;
--- a/Source/Process/WorkerChoice.cxx
+++ b/Source/Process/WorkerChoice.cxx
@@ -27,11 +27,11 @@
 /** Minimum interval between starts, on one worker, of backfill of unknown
  * effect beside serving tasks. */
 constexpr Millis kTrialInterval{ 800 };
-/** Speed assumed for starving backfill on workers where it may not run at
- * all. */
+/** Lower bound of the speed in the cost of a worker for starving backfill;
+ * keeps the cost finite where the backfill may not run at all. */
 constexpr double kAssumedSpeed = 0.02;
-/** CPU share assumed for starving backfill on workers without free
- * processors. */
+/** Lower bound of the CPU share in the same cost; keeps it finite on workers
+ * without free processors. */
 constexpr double kAssumedShare = 0.05;
 /** Cost of a worker with paused backfill, for starving backfill: the same as
  * for the speed kAssumedSpeed, so that such a worker is a last resort. */
@@ -43,12 +43,16 @@
 /** Added for each serving task that would suffer if the backfill turns out to
  * be harmful. */
 constexpr double kTrialCostPerServing = 0.3;
+/** Added for a worker on which the task failed or stalled before. */
 constexpr double kAvoidedCost = 20;
 
-/** Cost of a worker for a serving task; a worker without serving tasks costs
- * 1. */
+/** Cost, for a serving task, of a worker that runs serving tasks of the same
+ * image or only of other images. A worker without serving tasks costs 1 plus
+ * its used share. */
 constexpr double kSameImageCost = 0.5;
 constexpr double kOtherImageCost = 0.7;
+/** Weight of the used share of a worker that runs serving tasks; low, so that
+ * the images on the worker matter more. */
 constexpr double kUsedShareWeight = 0.1;
 
 bool
--- a/Source/Process/WorkerChoice.h
+++ b/Source/Process/WorkerChoice.h
@@ -52,8 +52,8 @@
 TaskResources
 TaskResourcesOf(const StepSpec& aStep, const JobDescription& aJob);
 
-/** Whether the worker is eligible to run the task, regardless of free
- * capacity. */
+/** Whether the worker is eligible to run the task, regardless of free capacity,
+ * cordons and the backoff after a refusal. */
 bool
 MayRunOn(const WorkerOption& aOption, const ChoiceFacts& aFacts);
 
