--- a/Source/Process/FleetEntry.h
+++ b/Source/Process/FleetEntry.h
@@ -91,7 +91,7 @@
 
   /**
    * Starts a planned stop: reports that the entry is not ready, serves requests
-   * until the load balancer has read that, and then closes.
+   * until the load balancer has received that report, and then closes.
    */
   void Stop(std::function<void()> aDone)
   {
@@ -117,10 +117,11 @@
   /** Maximum time to answer the requests that are accepted last. */
   static constexpr Millis kLastAnswers{ 1500 };
   static constexpr Millis kStopCheck{ 50 };
-  /** Margin by which the process exits before the bound of the stop. */
+  /** Margin by which the process exits before the configured maximum duration
+   * of a stop. */
   static constexpr Millis kStopMargin{ 800 };
   /** Timeout of a request to the leader. The leader answers from memory; an
-   * answer of the store takes about 10 ms. */
+   * answer of the table service takes about 10 ms. */
   static constexpr Millis kAskTimeout{ 350 };
   /** Timeout of a write to the store on behalf of another entry. */
   static constexpr Millis kPeerStoreTimeout{ 1000 };
@@ -129,7 +130,8 @@
   static constexpr Millis kTableAnswerTimeout{ 2000 };
   /** Part of a caller's timeout that is reserved for sending the answer. */
   static constexpr Millis kAnswerMargin{ 250 };
-  /** Timeout of a write by the leader, including its retries. */
+  /** Maximum timeout of a request to the leader to store a job or a
+   * cancellation, including the leader's retries of the write. */
   static constexpr Millis kStoreTimeout{ 800 };
   /** Interval between retries of a write that may already be stored. */
   static constexpr Millis kUnknownOutcomeRetry{ 100 };
@@ -531,6 +533,7 @@
   /** Returns the label of the request kind on the metrics page. */
   static const char* KindOf(const CallerCall& aCall)
   {
+    // In the order of the alternatives of CallerCall::what_.
     constexpr std::array<const char*, 5> kKinds{
       "refused", "submit", "state", "cancel", "waiting"
     };
@@ -663,8 +666,8 @@
               });
   }
 
-  /** Repeats a write that may already be stored. Never answers that it is not
-   * stored. */
+  /** Repeats a write that may already be stored. Never answers the caller that
+   * the job or cancellation is not stored. */
   void RetryUnknownStore(FleetRequestKind aQuestion,
                          const std::string& aJob,
                          const std::string& aRecord,
--- a/Source/Process/FleetLeader.h
+++ b/Source/Process/FleetLeader.h
@@ -287,8 +287,8 @@
    * Closes a link and notifies the scheduler.
    *
    * After this notification the scheduler sends no orders on a new link before
-   * the first report on that link. Such a report would not list the runs of
-   * earlier orders, so their tasks would be treated as not started.
+   * the first report on that link. That report would not list the runs of
+   * orders sent before it, so their tasks would be treated as not started.
    */
   void LoseLink(const std::string& aNode, Side& aSide)
   {
@@ -492,6 +492,8 @@
     }
   }
 
+  /** Handles the outcome of the removal of expired jobs: drops removed jobs
+   * from the scheduler and queues the removal of their progress rows. */
   void OnJobsRemoved(const std::vector<std::string>& aIds,
                      const Commit& aCommit)
   {
@@ -533,6 +535,7 @@
   TableWatch<Store> progress_;
   TableWatch<Store> members_;
   std::map<std::string, Side> sides_;
+  /** Removed jobs whose progress rows are removed by the next write. */
   std::vector<std::string> removals_;
   Instant nextFlush_;
   Instant nextSweep_;
--- a/Source/Process/FleetRecords.h
+++ b/Source/Process/FleetRecords.h
@@ -34,7 +34,10 @@
 /** Key shared by all processes of the fleet. */
 constexpr std::string_view kKeyTable = "key";
 
+/** Key prefix of the rows of jobs, both in the work table and in the progress
+ * table. */
 constexpr std::string_view kJobPrefix = "j/";
+/** Key prefix of the rows of cancellations in the work table. */
 constexpr std::string_view kCancelPrefix = "c/";
 
 /** Returns the part of a job, "0" to kWorkParts - 1, by a hash of its id. */
--- a/Source/Process/FleetSide.h
+++ b/Source/Process/FleetSide.h
@@ -107,9 +107,12 @@
   /** Change of the offset between the two clocks that indicates a suspension.
    * Consecutive readings without a suspension differ by less. */
   static constexpr Millis kSuspensionThreshold{ 20 };
+  /** Maximum duration of a planned stop. */
   static constexpr Millis kStopBound{ 1500 };
+  /** Timeout of reading and of writing the row of this side. */
   static constexpr Millis kRegisterTimeout{ 1500 };
   static constexpr Millis kDeregisterTimeout{ 1000 };
+  /** Delay before the retry of a failed read or write of the row. */
   static constexpr Millis kRegisterRetry{ 300 };
   /** Timeout without a message after which the link to the leader is closed. */
   static constexpr Millis kLeaderTimeout{ 3000 };
@@ -254,7 +257,7 @@
   }
 
   /**
-   * Removes the row of this side, whose worker has left and has no runs.
+   * Removes the row of this side, which has no worker and no runs.
    *
    * A leader that takes over waits for each side that has a row. The removal is
    * conditional on the row version, so a removal that is executed late does not
@@ -376,6 +379,8 @@
     clockOffset_ = offset;
   }
 
+  /** Sends the calls to the worker and the report to the leader that are due,
+   * and completes a planned stop that is ready or has reached its bound. */
   void Pump()
   {
     const Instant now = ReadMonotonicClock();
--- a/Source/Process/LeaderLease.cxx
+++ b/Source/Process/LeaderLease.cxx
@@ -163,9 +163,9 @@
   if (!own) {
     holds_ = false;
   }
-  // Reads a lease that is not renewed again as soon as it expires instead of up
-  // to kLeaderCheckPeriod later, because the fleet starts nothing without a
-  // leader.
+  // The next read of a lease that is not renewed takes place as soon as the
+  // lease expires instead of up to kLeaderCheckPeriod later, because the fleet
+  // starts nothing without a leader.
   nextAt_ = own || IsFree(aNow)
               ? aNow
               : std::min(aNow + kLeaderCheckPeriod, ExpiresAt() + kPastExpiry);
--- a/Source/Process/LeaseRunner.h
+++ b/Source/Process/LeaseRunner.h
@@ -56,15 +56,17 @@
 
   const LeaderLease& Lease() const { return lease_; }
 
-  /** Returns when the table last answered; it is called at least every second.
-   */
+  /** Returns when the table last answered. While the table answers, it is
+   * called at least every second, except after a yield. */
   Instant AnsweredAt() const { return answeredAt_; }
 
 private:
+  /** Interval at which the lease is checked for a step that is due. */
   static constexpr Millis kTick{ 100 };
   /** Shorter than the remaining time of a lease after two failed renewals. */
   static constexpr Millis kCallTimeout{ 1000 };
 
+  /** Executes the step of the lease that is due, if any. */
   void Step()
   {
     const Instant now = ReadMonotonicClock();
--- a/Source/Process/TableWatch.h
+++ b/Source/Process/TableWatch.h
@@ -82,6 +82,7 @@
    * seconds after the partition. */
   static constexpr Millis kWait{ 800 };
 
+  /** Starts the read of the next part, if any is left. */
   void ReadNextPart()
   {
     if (nextPart_ < parts_.size()) {
--- a/Source/Process/WorkerKeeper.cxx
+++ b/Source/Process/WorkerKeeper.cxx
@@ -13,13 +13,15 @@
 constexpr Millis kOrderTimeout{ 400 };
 /** Margin added to the maximum duration of a stop. */
 constexpr Millis kStopMargin{ 100 };
-/** Delay before the retry of an order that was not accepted. */
+/** Delay before the retry of an order that was not accepted. A start that the
+ * worker rejects for good, such as for lack of resources, is not retried. */
 constexpr Millis kOrderRetry{ 100 };
 /** Timeout of a hold in addition to its own wait. */
 constexpr Millis kHoldTimeout{ 700 };
 /** Maximum wait of a hold for an end; also the interval at which progress is
  * read. */
 constexpr Millis kHoldWait{ 500 };
+/** Maximum wait of a hold while the worker has no runs. */
 constexpr Millis kIdleHoldWait{ 1500 };
 /** Delay of the next hold while ends are not stored. Such ends make a hold
  * return at once, so the delay gives the leader time to store them. */
@@ -40,8 +42,9 @@
 /** Interval between reports of changes that are not urgent, such as accepted
  * starts and measurements. */
 constexpr Millis kDeferredReportInterval{ 100 };
-/** Margin added to the end of a lease on the clock of this side, for the
- * latency of the call. */
+/** Margin for the latency of a call. A lease is requested to end at least
+ * this much before the authority ends, and is assumed to end this much later on
+ * the clock of this side than requested. */
 constexpr Millis kLeaseMargin{ 200 };
 /** Increase of a fence that is too low because the wall clock was set back: one
  * hour in ms, which is more than any clock correction. */
--- a/Source/Process/WorkerKeeper.h
+++ b/Source/Process/WorkerKeeper.h
@@ -159,6 +159,8 @@
   /** Returns false if the orders come from a former leader, whose link must be
    * closed. */
   bool OnOrders(const FleetOrders& aOrders, Instant aNow);
+  /** Handles the answer to the call with id aCall; an answer to a call that is
+   * no longer in flight is ignored. */
   void OnAnswer(std::uint64_t aCall, const CallAnswer& aAnswer, Instant aNow);
   /** Handles a suspension of the host for aGap, as measured by the clock that
    * includes suspended time. */
