--- a/Source/Process/FleetScheduler.cxx
+++ b/Source/Process/FleetScheduler.cxx
@@ -274,7 +274,7 @@
 }
 
 bool
-FleetScheduler::AnySuspect() const
+FleetScheduler::AnyMayRunOldWork() const
 {
   return std::any_of(workers_.begin(), workers_.end(), [](const auto& aEntry) {
     return aEntry.second.mayRunOldWork_;
@@ -284,7 +284,7 @@
 bool
 FleetScheduler::DefersOldWork(Instant aNow)
 {
-  const bool defer = AnySuspect();
+  const bool defer = AnyMayRunOldWork();
   if (defer && !deferralLogged_ && aNow - loadedAt_ > kUsualSyncTime) {
     deferralLogged_ = true;
     std::string names;
--- a/Source/Process/FleetScheduler.h
+++ b/Source/Process/FleetScheduler.h
@@ -276,11 +276,12 @@
   void DropAllRuns(FleetWorker& aWorker, std::string_view aWhy, Instant aNow);
   void AbandonUnreachable(Instant aNow);
   /** Whether any worker may still run work of a previous leader. */
-  bool AnySuspect() const;
+  bool AnyMayRunOldWork() const;
   /**
-   * Whether jobs from an earlier leader are not placed yet, see AnySuspect().
-   * Logs the names of the sides that have not reported if the wait takes longer
-   * than reachable sides need, and the end of such a wait.
+   * Whether jobs from an earlier leader are not placed yet, see
+   * AnyMayRunOldWork(). Logs the names of the sides that have not reported if
+   * the wait takes longer than reachable sides need, and the end of such a
+   * wait.
    */
   bool DefersOldWork(Instant aNow);
 
--- a/Source/Process/FleetSchedulerPlacement.cxx
+++ b/Source/Process/FleetSchedulerPlacement.cxx
@@ -99,7 +99,7 @@
       std::chrono::duration_cast<Micros>(kAuthority).count());
     orders.orders_.highFrequencyMicros_ =
       worker.highFrequency_
-        ? static_cast<std::uint64_t>(Micros(kWatchValidity).count())
+        ? static_cast<std::uint64_t>(Micros(kHighFrequencyValidity).count())
         : 0;
     orders.orders_.workerId_ = worker.facts_.id_;
     orders.orders_.endsStored_ = worker.endsStored_;
--- a/Source/Process/FleetSchedulerSharing.cxx
+++ b/Source/Process/FleetSchedulerSharing.cxx
@@ -26,10 +26,10 @@
  * Maximum number of workers under high-frequency reporting in a fleet of any
  * size, because each costs the leader four reports per second.
  */
-constexpr std::ptrdiff_t kMaxWatchedWorkers = 20;
+constexpr std::ptrdiff_t kMaxHighFrequencyWorkers = 20;
 /**
  * Pressure above which a worker is under high-frequency reporting even if
- * kMaxWatchedWorkers others are.
+ * kMaxHighFrequencyWorkers others are.
  */
 constexpr double kHighPressure = 0.75;
 /**
@@ -157,7 +157,7 @@
       return aEntry.second.highFrequency_;
     });
   aWorker.highFrequency_ =
-    watched < kMaxWatchedWorkers || aWorker.pressure_ > kHighPressure;
+    watched < kMaxHighFrequencyWorkers || aWorker.pressure_ > kHighPressure;
 }
 
 void
--- a/Source/Process/FleetTimings.h
+++ b/Source/Process/FleetTimings.h
@@ -79,7 +79,7 @@
  * leader's next orders renew. Covers the time until those orders and the loss
  * of one report.
  */
-constexpr Millis kWatchValidity{ 2500 };
+constexpr Millis kHighFrequencyValidity{ 2500 };
 
 /**
  * Margin by which a start must begin before the cancellation bound, which
--- a/Source/Process/Lane.cxx
+++ b/Source/Process/Lane.cxx
@@ -36,7 +36,7 @@
 constexpr Millis kClaimsInterval{ 0 };
 /** Time without an answer after which the next transaction may start; the
  * unanswered one stays in flight until its own deadline. */
-constexpr Millis kClaimsTimeout{ 50 };
+constexpr Millis kClaimsAnswerTimeout{ 50 };
 constexpr std::string_view kServicePrefix = "/s/";
 constexpr std::string_view kBearer = "Bearer ";
 
@@ -154,7 +154,7 @@
   std::unique_ptr<HttpFront> front_;
   std::unique_ptr<TableClient> table_;
   ClaimBatcher claims_{
-    { kMaxClaimsPerBatch, kClaimsInterval, kClaimsTimeout }
+    { kMaxClaimsPerBatch, kClaimsInterval, kClaimsAnswerTimeout }
   };
   std::unique_ptr<QTimer> tick_;
   RequestMeter meter_{ Metrics::OfProcess() };
