--- a/Source/Version/CellLease.h
+++ b/Source/Version/CellLease.h
@@ -56,7 +56,8 @@
    * write may still apply. */
   bool HasUnresolvedWrite() const { return !unresolvedWrites_.empty(); }
 
-  /** Whether the row must be written to renew the lease. */
+  /** Whether the row must be written, because the renewal is due or a write has
+   * an unknown outcome. */
   bool RenewalDue(Instant aNow) const;
 
   /** Returns the row with this entry as the owner; aTake raises the epoch. */
@@ -90,7 +91,8 @@
   void RestartExpiryWait(Instant aNow);
 
   /** Gives up ownership because a worker reported a higher epoch, which proves
-   * that another entry owns the cell. */
+   * that another entry owns the cell, and restarts the wait for the owner's
+   * lease to expire. */
   void Fenced(Instant aNow);
 
 private:
--- a/Source/Version/ConfigurationVersion.cxx
+++ b/Source/Version/ConfigurationVersion.cxx
@@ -68,7 +68,10 @@
              ConfigurationRecord aRecord,
              const std::string& aSource);
   void Answer(Actions& aActions, int aStatus, std::string aMessage);
+  /** Requests the write of the pending change, at first and on each retry. */
   void WriteChange(Actions& aActions);
+  /** Requests a write of the configuration in force to a stale table, unless
+   * the last one was too recent or a change is pending. */
   void WriteBack(Actions& aActions, std::uint64_t aRevision, Instant aNow);
   void CompareRow(Actions& aActions, const TableRow& aRow, Instant aNow);
   void BeginChange(Actions& aActions);
@@ -288,7 +291,7 @@
     return;
   }
   // The revision came from a stale read, but the row's version is still lower.
-  // The next tick retries the write rather than this function, so that a table
+  // A later tick retries the write rather than this function, so that a table
   // that keeps returning stale data is not flooded with writes.
   change_->revision_ = row.revision_;
 }
@@ -431,7 +434,7 @@
   self.change_->writing_ = false;
   self.change_->nextWrite_ = aNow + kRewriteDelay;
   if (outcome == nullptr) {
-    // The next tick sends the same write again; its condition holds at most
+    // A later tick sends the same write again; its condition holds at most
     // once.
     return actions;
   }
--- a/Source/Version/ContentionModel.cxx
+++ b/Source/Version/ContentionModel.cxx
@@ -10,10 +10,11 @@
 /** Ratio of the latency without load to the lowest reported latency, which
  * still includes some load. */
 constexpr double kBaseToLowestRatio = 0.8;
-/** Number of reports of an image from which their lowest pressure is used as it
- * is; with fewer reports it is capped at kInitialLowestLimit. */
+/** Minimum number of reports of an image for its lowest pressure to be used
+ * unchanged; with fewer reports it is limited to kInitialLowestLimit. */
 constexpr std::uint32_t kMinReports = 30;
-/** Share of the objective. */
+/** Upper limit of the lowest pressure of an image with fewer than kMinReports
+ * reports, as a share of the objective. */
 constexpr double kInitialLowestLimit = 0.3;
 /** Pressure up to which backfill may raise a serving task, just below its
  * objective. */
--- a/Source/Version/ContentionModel.h
+++ b/Source/Version/ContentionModel.h
@@ -117,7 +117,9 @@
                     Instant aNow);
 
   LearnedContention Export() const;
-  /** Merges the state of another model; pairs known here are unchanged. */
+  /** Merges the state of another model: keeps the lower of the lowest pressures
+   * of an image and adds up its report counts; pairs known here are unchanged.
+   */
   void Import(const LearnedContention& aLearned, Instant aNow);
 
   /** Removes the loads of jobs that have no measurement since aTime. */
--- a/Source/Version/DurationModel.cxx
+++ b/Source/Version/DurationModel.cxx
@@ -12,8 +12,9 @@
 /** Weight of the prior that the slope is 1, as a sum of squares: that of about
  * four steps whose estimates differ by a factor of three. */
 constexpr double kSlopePriorWeight = 4;
-/** Number of steps over which old samples decay. With eleven workers this is
- * about two minutes of batch steps or half a minute of urgent steps. */
+/** Number of steps after which the weight of old samples is 1/e. With eleven
+ * workers this is about two minutes of batch steps or half a minute of urgent
+ * steps. */
 constexpr double kDecaySteps = 200;
 
 }
--- a/Source/Version/InterferenceHistory.cxx
+++ b/Source/Version/InterferenceHistory.cxx
@@ -7,7 +7,8 @@
 
 namespace {
 
-/** Maximum age of a report at its arrival; older reports are not used. */
+/** Maximum age of a report at its arrival for which the tasks of a worker are
+ * kept; entries that ended earlier are removed. */
 constexpr Millis kMaxReportAge{ 10000 };
 
 std::vector<Neighbour>
--- a/Source/Version/PlacementEngine.cxx
+++ b/Source/Version/PlacementEngine.cxx
@@ -13,8 +13,13 @@
 /** Lower limit of the urgent load used for scoring, because the load of an idle
  * runner may rise soon. */
 constexpr double kMinLoad = 0.2;
+/** Urgent load at which the slowdown is compared with disruptiveCost_ and
+ * sharedCostLimit_. */
 constexpr double kHalfLoad = 0.5;
+/** Weight of the used share of a worker in the score of batch work. */
 constexpr double kPackingWeight = 0.02;
+/** Added to the score of a service for each task of the same program on the
+ * worker. */
 constexpr double kSameProgramPenalty = 1.0;
 
 double
--- a/Source/Version/Reaction.cxx
+++ b/Source/Version/Reaction.cxx
@@ -8,9 +8,12 @@
 
 namespace {
 
+/** Weight of a new report in the smoothed slowdown. */
 constexpr double kSlowdownSmoothing = 0.4;
 /** Minimum sample count of a report that is used. */
 constexpr double kMinSamples = 5;
+/** Limits of the urgent load from which the allowed slowdown is computed: its
+ * factor (1 - load) / load is unbounded at load 0 and zero at load 1. */
 constexpr double kMinLoad = 0.1;
 constexpr double kMaxLoad = 0.95;
 /** Minimum slowdown caused by a task for which a step is taken. */
--- a/Source/Version/Reaction.h
+++ b/Source/Version/Reaction.h
@@ -148,6 +148,9 @@
                const WorkerPressure& aWorker,
                const InterferenceModel& aModel,
                InterferenceModel::Program aVictim) const;
+  /** Adds steps that throttle batch tasks on the worker until the excess is
+   * covered. If no task can be throttled further and the excess persists for
+   * pressureTimeout_, Remove() is called. */
   void Relieve(std::vector<ReactionStep>& aSteps,
                std::size_t aIndex,
                const WorkerPressure& aWorker,
@@ -155,6 +158,8 @@
                double aExcess,
                WorkerState& aState,
                Instant aNow);
+  /** Adds the cheapest move or eviction whose price does not exceed the harm of
+   * the excess, if there is one. */
   void Remove(std::vector<ReactionStep>& aSteps,
               std::size_t aIndex,
               const WorkerPressure& aWorker,
@@ -162,6 +167,8 @@
               double aExcess,
               WorkerState& aState,
               Instant aNow);
+  /** Adds steps that restore throttled tasks, the one with the lowest cost per
+   * processor first, as far as the allowance covers their cost. */
   void Release(std::vector<ReactionStep>& aSteps,
                std::size_t aIndex,
                const WorkerPressure& aWorker,
--- a/Source/Version/ServingLoad.h
+++ b/Source/Version/ServingLoad.h
@@ -31,11 +31,13 @@
 public:
   explicit ServingLoad(Instant aNow);
 
-  /** Increases the variance by the time since the last measurement. */
+  /** Increases the variance and lowers the peak in proportion to the time since
+   * the last measurement. */
   void Advance(Instant aNow);
   /** Corrects the load by the error of a measurement with the given gain. */
   void Correct(double aError, double aGain);
 
+  /** Returns the load at the last measurement, with its variance. */
   const ScalarEstimate& Estimate() const { return load_; }
   /** Returns the upper limit of the load within this time from the last
    * measurement. */
--- a/Source/Version/WorkerHealth.h
+++ b/Source/Version/WorkerHealth.h
@@ -67,7 +67,10 @@
     bool parked_ = false;
   };
 
+  /** Cordons the worker, sets the time of its next probe and removes its
+   * failures from the jobs. */
   void Cordon(const std::string& aName, Worker& aWorker, Instant aNow);
+  /** Parks the job and removes its failures from the workers. */
   void Park(const std::string& aName, Job& aJob);
 
   Rules rules_;
