--- a/Source/Version/InterferenceHistory.cxx
+++ b/Source/Version/InterferenceHistory.cxx
@@ -9,7 +9,7 @@
 
 /** Maximum age of a report at its arrival for which the tasks of a worker are
  * kept; entries that ended earlier are removed. */
-constexpr Millis kMaxReportAge{ 10000 };
+constexpr Millis kHistoryPeriod{ 10000 };
 
 std::vector<Neighbour>
 Merge(std::span<const Neighbour> aNeighbours)
@@ -53,7 +53,7 @@
     return;
   }
   entries.push_back({ aNow, std::move(merged) });
-  while (entries.size() > 1 && entries[1].since_ + kMaxReportAge < aNow) {
+  while (entries.size() > 1 && entries[1].since_ + kHistoryPeriod < aNow) {
     entries.pop_front();
   }
 }
