--- a/Source/Connection/Codec.h
+++ b/Source/Connection/Codec.h
@@ -35,8 +35,8 @@
 
 /**
  * Returns the size in bytes of the frame at the start of aBytes, or 0 while its
- * header is incomplete. Fails if the header states another version or more than
- * kMaxFrameBytes.
+ * header is incomplete. Fails if the header states another version, a size
+ * below kFrameHeaderBytes or a size above kMaxFrameBytes.
  */
 Result<std::size_t>
 FrameLength(std::span<const char> aBytes);
--- a/Source/Connection/GuardedSocket.cxx
+++ b/Source/Connection/GuardedSocket.cxx
@@ -13,6 +13,8 @@
 
 namespace {
 
+/** Size in bytes of the read buffer of a caller's socket. While a request is
+ * handled and the buffer is full, TCP flow control slows the caller down. */
 constexpr qint64 kReadBufferBytes = 65536;
 /** Time during which data from a rejected caller is still read. */
 constexpr Millis kRejectionLinger{ 1000 };
--- a/Source/Connection/HttpFront.cxx
+++ b/Source/Connection/HttpFront.cxx
@@ -145,6 +145,7 @@
 void
 DropConnectionRequests(int aDescriptor)
 {
+  // Offset of the flags in the TCP header, in bytes.
   constexpr std::uint32_t kFlagsOffset = 13;
   constexpr std::uint32_t kSynAndAck = 0x12;
   constexpr std::uint32_t kSyn = 0x02;
--- a/Source/Connection/HttpFront.h
+++ b/Source/Connection/HttpFront.h
@@ -50,7 +50,8 @@
   /** Writes the response; any further call is ignored. */
   void Answer(const HttpAnswer& aAnswer) const;
 
-  /** Sets the callback for a caller that disconnects before its response. */
+  /** Sets the callback for a caller that disconnects before its response;
+   * invokes it at once if the connection no longer exists. */
   void OnDisconnected(std::function<void()> aCallback) const;
 
 private:
@@ -68,7 +69,7 @@
 public:
   using Handler = std::function<void(HttpExchange)>;
 
-  /** Listens on an IP address; port 0 selects a free port. */
+  /** Listens on a numeric IPv4 address; port 0 selects a free port. */
   static Result<std::unique_ptr<HttpFront>> Listen(std::string_view aAddress,
                                                    std::uint16_t aPort,
                                                    const HttpLimits& aLimits,
@@ -78,15 +79,15 @@
   std::uint16_t Port() const;
   const HttpGuardCounts& Counts() const;
 
-  /** Closes each connection after its next response; still accepts new
-   * connections. */
+  /** Closes each connection after its next response, or after later ones while
+   * further requests have been received; still accepts new connections. */
   void CloseAfterAnswers();
 
   /**
    * Rejects new connections without losing an established one; see
-   * DropConnectionRequests() in the source. Idle connections close at once,
-   * busy ones after their response. Listening() is true until the last
-   * established connection has been accepted.
+   * DropConnectionRequests() in the source. Idle connections close once
+   * the last established connection has been accepted; Listening() is true
+   * until then. Busy connections close after their responses.
    */
   void StopListening();
   bool Listening() const;
--- a/Source/Connection/LinkSession.cxx
+++ b/Source/Connection/LinkSession.cxx
@@ -7,6 +7,7 @@
 namespace {
 
 constexpr std::string_view kSessionPurpose = "cactusrail link 1:";
+/** Texts whose tags under the session key are the proofs of the two ends. */
 constexpr std::string_view kOpenerProof = "opener holds the key";
 constexpr std::string_view kAcceptorProof = "acceptor holds the key";
 /** Maximum size in bytes of a frame from an unauthenticated peer. */
--- a/Source/Connection/LinkSession.h
+++ b/Source/Connection/LinkSession.h
@@ -47,8 +47,9 @@
   std::string Start();
 
   /**
-   * Processes received bytes. Fails with Refused if the peer's proof or a tag
-   * is invalid; the link must then be closed.
+   * Processes received bytes. Fails with Refused if the peer's handshake or a
+   * tag is invalid, and with BadInput if a frame is malformed; the link must
+   * then be closed.
    */
   Result<LinkInput> Take(std::span<const char> aBytes);
 
--- a/Source/Connection/ReportEncoder.h
+++ b/Source/Connection/ReportEncoder.h
@@ -31,12 +31,14 @@
   struct KnownRun
   {
     std::uint16_t number_ = 0;
-    /** Whether the last report listed the run. */
+    /** Whether the report that is being encoded lists the run; false between
+     * reports. */
     bool listed_ = false;
     RunStatus fact_;
   };
 
   WireMessage EncodeFullReport(FleetReport aReport);
+  /** Adds a new run, or the changed fields of a known run, to aChange. */
   void EncodeRun(RunStatus aFact, FleetReportChange& aChange);
   void EncodeRemovedRuns(FleetReportChange& aChange);
   /** Whether unused numbers remain for every run that may be new. */
--- a/Source/Connection/TableClient.cxx
+++ b/Source/Connection/TableClient.cxx
@@ -13,6 +13,7 @@
 namespace {
 
 constexpr int kOk = 200;
+/** Status of the response if no object has the requested name. */
 constexpr int kNotFound = 404;
 constexpr int kConflict = 409;
 
--- a/Source/Connection/TableClient.h
+++ b/Source/Connection/TableClient.h
@@ -25,7 +25,7 @@
 
   /**
    * Applies a transaction atomically. A Failure with MayHaveRun means that the
-   * transaction may have taken effect although no response arrived.
+   * transaction may have taken effect although no valid response arrived.
    */
   void Transact(const TableTransaction& aTransaction,
                 Instant aDeadline,
--- a/Source/Request/EntryCore.cxx
+++ b/Source/Request/EntryCore.cxx
@@ -135,6 +135,8 @@
                           const ClaimRecord& aRecord,
                           Instant aNow);
   void Dispatch(Actions& aActions, Request& aRequest, Instant aNow);
+  /** Dispatches the request again if it is idempotent or did not run, and if
+   * attempts, time and the retry budget permit; otherwise abandons it. */
   void RetryOrAbandon(Actions& aActions,
                       Request& aRequest,
                       const std::string& aReason,
@@ -494,9 +496,9 @@
     aActions.emplace_back(
       SendCancel{ request.sideId_, CancelMessage{ request.attemptId_ } });
   }
-  // Also needed while the claim write is in flight: if that write is applied
-  // later, the key would stay claimed by a request that was answered with
-  // "did not run".
+  // The outcome is also written while the claim write is in flight: if the
+  // claim write is applied later, the key would stay claimed by a request that
+  // was answered with "did not run".
   if (request.claimWrites_ > 0) {
     ClaimRecord record;
     record.requestId_ = aRequestId;
--- a/Source/Request/OutlierTracker.h
+++ b/Source/Request/OutlierTracker.h
@@ -35,7 +35,8 @@
   void Forget(std::size_t aRunner);
   void OnAnswer(std::size_t aRunner, Micros aLatency, Instant aNow);
   void OnFailure(std::size_t aRunner, Instant aNow);
-  /** A request is sent; if the runner is ejected, the request is its probe. */
+  /** A request is sent; if the runner is ejected and a probe is due, the
+   * request is its probe. */
   void OnSent(std::size_t aRunner, Instant aNow);
 
   /** Whether the runner may get a request now, including a probe. */
--- a/Source/Request/SideCore.cxx
+++ b/Source/Request/SideCore.cxx
@@ -236,7 +236,8 @@
   return Micros(static_cast<std::int64_t>(service * ahead / slots));
 }
 
-/** Estimates when an attempt with the same remaining time would be accepted. */
+/** Estimates the delay after which an attempt with the same remaining time
+ * would be accepted. */
 Millis
 SideCore::Private::RetryAfter(const DispatchMessage& aDispatch,
                               Instant aNow) const
@@ -408,8 +409,8 @@
   Private& self = *private_;
   const std::uint64_t leaving =
     aIncarnation == 0 ? self.lastIncarnation_ : aIncarnation;
-  // Also applies if the upstream is not announced now: a late repeat of its
-  // announcement must not reopen it.
+  // The incarnation also ends if the upstream is not announced now: a late
+  // repeat of its announcement must not reopen it.
   self.EndIncarnation(leaving);
   const bool current =
     self.upstream_.has_value() && self.upstream_->incarnation_ == leaving;
