--- a/Source/Request/SideCore.cxx
+++ b/Source/Request/SideCore.cxx
@@ -98,7 +98,7 @@
   std::map<std::uint64_t, std::string> queue_;
   /** Total size of the waiting bodies. */
   std::size_t queuedBytes_ = 0;
-  std::uint64_t nextTurn_ = 1;
+  std::uint64_t nextQueuePosition_ = 1;
   /** Smoothed service time of attempts at the upstream. */
   double serviceMicros_;
   std::size_t running_ = 0;
@@ -450,7 +450,7 @@
   attempt.dispatch_ = aDispatch;
   attempt.deadline_ = deadline;
   attempt.arrivedAt_ = aNow;
-  attempt.queuePosition_ = self.nextTurn_++;
+  attempt.queuePosition_ = self.nextQueuePosition_++;
   self.queue_.emplace(attempt.queuePosition_, aDispatch.attemptId_);
   self.queuedBytes_ += aDispatch.body_.size();
   self.attempts_.emplace(aDispatch.attemptId_, std::move(attempt));
