--- a/Source/Process/FleetTimings.h
+++ b/Source/Process/FleetTimings.h
@@ -14,16 +14,16 @@
 /**
  * Validity of the leader's lease in the table without a renewal. A longer lease
  * survives a longer table outage; a shorter one speeds up the takeover when the
- * leader's host is lost for good. A leader that was killed gets its own place
- * again after its restart, and a leader that alone cannot reach the table
- * yields.
+ * leader's host is lost for good. Two takeovers do not wait for the lease to
+ * expire: a leader that was killed takes its own place again after its restart,
+ * and a leader that alone cannot reach the table yields to another entry.
  *
- * Users describe table outages of 4 to 5 s. Nothing new starts during an outage
- * once the lease has expired.
+ * Nothing new starts during a table outage once the lease has expired, and
+ * users describe outages of 4 to 5 s.
  */
 constexpr Millis kLeaderLease{ 5500 };
 
-/** Interval between lease renewals; about six renewals fit in one lease. */
+/** Interval between lease renewals; about nine renewals fit in one lease. */
 constexpr Millis kLeaderRenewal{ 600 };
 
 /** Interval at which the other entries check the lease. */
--- a/Source/Process/StopNotice.cxx
+++ b/Source/Process/StopNotice.cxx
@@ -6,7 +6,8 @@
 
 namespace {
 
-/** Consecutive "not ready" answers after which a balancer removes an entry. */
+/** Number of "not ready" answers since the stop began, consecutive or not,
+ * after which the balancer is taken to have removed the entry. */
 constexpr int kRequiredNotReadyAnswers = 2;
 
 /** Covers two health checks one second apart, and connections that were in
--- a/Source/Process/WorkerChoice.cxx
+++ b/Source/Process/WorkerChoice.cxx
@@ -51,8 +51,7 @@
  * its used share. */
 constexpr double kSameImageCost = 0.5;
 constexpr double kOtherImageCost = 0.7;
-/** Weight of the used share of a worker that runs serving tasks; low, so that
- * the images on the worker matter more. */
+/** Weight of the used share in the cost of a worker that runs serving tasks. */
 constexpr double kUsedShareWeight = 0.1;
 
 bool
--- a/Source/Version/RecoveryRateLimiter.h
+++ b/Source/Version/RecoveryRateLimiter.h
@@ -26,8 +26,10 @@
 
   explicit RecoveryRateLimiter(const Rules& aRules);
 
-  /** Starts rate limiting after the service became unreachable. Single writes
-   * then serve as probes. */
+  /** Starts rate limiting after the service became unreachable, or starts it
+   * anew: allows no write for a random time up to maxWait_, then at most
+   * initialPerSecond_ writes per second, evenly spaced, until OnSuccess() or
+   * OnFailure() changes the rate. */
   void OnOutage(Instant aNow, std::uint64_t aRandom);
   /** Doubles the rate at intervals of doublingInterval_; ends rate limiting
    * above maxPerSecond_. */
