--- a/Source/Process/CommandLine.h
+++ b/Source/Process/CommandLine.h
@@ -52,7 +52,8 @@
   std::vector<std::string> List(std::string_view aName) const;
   bool Given(std::string_view aName) const;
 
-  /** Returns an integer from 0 to aMaximum, or aDefault if it was not given. */
+  /** Returns the integer value of an option, or aDefault if it was not given.
+   * Fails with BadInput unless the value is from 0 to aMaximum. */
   Result<std::int64_t> Number(const std::string& aName,
                               std::int64_t aDefault,
                               std::int64_t aMaximum) const;
@@ -64,7 +65,7 @@
   /**
    * Returns the entries to contact, in order: the --entry options, or else the
    * comma-separated list in CACTUSRAIL_ENTRY. Fails with BadInput if there is
-   * none.
+   * none or an address is invalid.
    */
   Result<std::vector<SocketAddress>> Entries() const;
 
--- a/Source/Process/EntrySettings.h
+++ b/Source/Process/EntrySettings.h
@@ -28,6 +28,7 @@
 
   CommonSettings common_;
 
+  /** Returns the entry's own specs followed by the common ones. */
   static std::span<const SettingSpec> Specs();
   static Result<EntrySettings> Load(const std::string& aPath);
 };
--- a/Source/Process/Explainer.cxx
+++ b/Source/Process/Explainer.cxx
@@ -33,9 +33,10 @@
 /** Number of slots of a lost side to read, starting at the slot of the step
  * that names the side. */
 constexpr std::uint64_t kSideSlotsRead = 2;
-/** Maximum number of sides to query if no step names a side. The limit keeps
- * one request from flooding all sides. */
+/** Maximum number of sides to query. All sides are candidates if no step names
+ * a side; the limit keeps one request from flooding them. */
 constexpr std::size_t kMaxSidesQueried = 64;
+/** Prefix of a side's name in a step's host and at the end of its detail. */
 constexpr std::string_view kSidePrefix = "side/";
 
 /** Steps of one request, in the response to operators and other entries. */
--- a/Source/Process/Explainer.h
+++ b/Source/Process/Explainer.h
@@ -14,8 +14,9 @@
 /**
  * Returns the steps of one request (GET /v1/explain?id=ID). Collects the steps
  * from the memory of this entry, of the other entries (GET /v1/recall?id=ID)
- * and of the sides that the steps name. For a host that is gone, reads the
- * segments that the host wrote to the object store. Owned by EntryProcess.
+ * and of the sides that the steps name; if they name none, of any sides, up to
+ * a limit. For a host that is gone, reads the segments that the host wrote to
+ * the object store. Owned by EntryProcess.
  */
 class Explainer
 {
--- a/Source/Process/Histogram.cxx
+++ b/Source/Process/Histogram.cxx
@@ -9,6 +9,7 @@
 
 namespace accumulators = boost::accumulators;
 
+/** Range of the bins in seconds. */
 constexpr double kLowest = 1e-5;
 constexpr double kHighest = 1e3;
 constexpr int kBinsADecade = 50;
--- a/Source/Process/Histogram.h
+++ b/Source/Process/Histogram.h
@@ -75,6 +75,8 @@
 public:
   Histogram();
 
+  /** Adds a duration. One outside the range of the bins is counted in the first
+   * or the last bin. */
   void Add(Micros aDuration);
 
   std::uint64_t Count() const;
--- a/Source/Process/HistogramPicture.h
+++ b/Source/Process/HistogramPicture.h
@@ -10,7 +10,8 @@
 std::string
 HistogramBars(const HistogramSummary& aSummary);
 
-/** Formats all series and counts of a process for a terminal. */
+/** Formats all series and the non-zero gauges and counters of a process for a
+ * terminal. */
 std::string
 FormatMetrics(const MetricsSnapshot& aSnapshot);
 
--- a/Source/Process/Journal.h
+++ b/Source/Process/Journal.h
@@ -52,8 +52,8 @@
   };
 
   static constexpr std::size_t kShards = 16;
-  /** Maximum number of steps per shard that wait for TakeNew(); TakeNew() does
-   * not return further steps. */
+  /** Maximum number of steps per shard that wait for TakeNew(); further steps
+   * are not collected. */
   static constexpr std::size_t kMaxNew = 8192;
   /** Maximum number of steps per request; later steps are dropped. */
   static constexpr std::size_t kMaxSteps = 64;
--- a/Source/Process/Metrics.cxx
+++ b/Source/Process/Metrics.cxx
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Not a valid tenant name. */
+/** Tenant and class of the overflow series. Not a valid tenant name. */
 constexpr const char* kOverflowTenant = "(other)";
 /** Yields 2.5 buckets per decade on the metrics pages. */
 constexpr std::size_t kBinsPerBucket = 20;
--- a/Source/Process/Metrics.h
+++ b/Source/Process/Metrics.h
@@ -132,11 +132,12 @@
 /**
  * Metrics of a process per tenant and class. Thread-safe: series are spread
  * over shards, each with its own lock, and a snapshot holds a lock only while
- * it copies one series.
+ * it copies the keys of one shard or one series.
  *
  * Memory does not grow without limit with the number of tenants: once a shard
- * has kMaxSeriesPerShard series, values of new tenants go into one series
- * "(other)", and each such value is counted as a series overflow.
+ * has kMaxSeriesPerShard series, values of new pairs of tenant and class go
+ * into one series "(other)", and each such value is counted as a series
+ * overflow.
  */
 class Metrics
 {
--- a/Source/Process/SchedulerCore.h
+++ b/Source/Process/SchedulerCore.h
@@ -74,6 +74,8 @@
   /** Returns whether this entry owns no cell and has no write in flight. */
   bool IsHandedOver() const;
 
+  /** Returns the names of the cells that this entry owns, including those whose
+   * lease has expired. */
   std::vector<std::string> OwnedCells() const;
   const SchedulerCounts& Counts() const;
 
--- a/Source/Process/SchedulerWorkers.h
+++ b/Source/Process/SchedulerWorkers.h
@@ -42,7 +42,8 @@
    * did not fail, so that the worker can get new tasks. */
   bool IsUsable(const WorkTimings& aTimings, Instant aNow) const;
 
-  /** Returns the minimum of the capacities in the row and in the report. */
+  /** Returns, for each resource, the minimum of the capacities in the row and
+   * in the report; the row's capacity if no report has arrived. */
   Resources Capacity() const;
 
   /** Returns the incarnation that commands are addressed to. */
@@ -50,9 +51,9 @@
 
   /**
    * Returns the longest possible grant, which never exceeds aLimit on this
-   * entry's clock; none if no report has arrived. The worker sent its report
-   * before reportArrivedAt_, so its clock reaches the deadline no later than
-   * computed here.
+   * entry's clock; none if no report has arrived, or if aLimit is not after its
+   * arrival. The worker sent its report before reportArrivedAt_, so its clock
+   * reaches the deadline no later than computed here.
    */
   std::optional<TaskGrant> Grant(const WorkTimings& aTimings,
                                  Instant aLimit) const;
--- a/Source/Process/SettingSpec.h
+++ b/Source/Process/SettingSpec.h
@@ -24,7 +24,7 @@
   Choice,
   /** "ID:HEX,ID:HEX", shared keys; never included in a message. */
   Keys,
-  /** A SHA-256 as 64 hex digits, or empty. */
+  /** A SHA-256 as 64 lowercase hex digits, or empty. */
   Sha256,
 };
 
--- a/Source/Process/StopSignal.h
+++ b/Source/Process/StopSignal.h
@@ -20,7 +20,7 @@
   ~StopSignal() override;
 
 Q_SIGNALS:
-  /** Emitted for each stop signal; aCount is 1 for the first one. */
+  /** Emitted on each SIGTERM or SIGINT; aCount is 1 for the first one. */
   void Arrived(int aCount);
   /** Emitted on SIGHUP, to reload settings that need no restart. */
   void ReloadRequested();
--- a/Source/Process/WorkCommands.cxx
+++ b/Source/Process/WorkCommands.cxx
@@ -31,6 +31,8 @@
   return ExitCodeOfFailure(aFailure);
 }
 
+/** Returns a random id. For a repeated id, the entry returns the first
+ * outcome. */
 std::string
 NewOperationId()
 {
