--- a/Source/Process/Instant.h
+++ b/Source/Process/Instant.h
@@ -17,8 +17,8 @@
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<MonotonicClock, duration>;
-  // NOLINTNEXTLINE(readability-identifier-naming): name required by the
-  // standard.
+  // The standard requires this name.
+  // NOLINTNEXTLINE(readability-identifier-naming)
   static constexpr bool is_steady = true;
 };
 
--- a/Source/Process/Log.cxx
+++ b/Source/Process/Log.cxx
@@ -38,8 +38,8 @@
   {
   }
 
-  // NOLINTNEXTLINE(readability-identifier-naming): name required by the
-  // library.
+  // The library requires this name.
+  // NOLINTNEXTLINE(readability-identifier-naming)
   void consume(const boost::log::record_view&, const string_type& aLine)
   {
     output_.Write(aLine);
